--- a/src/core/cold_share.c
+++ b/src/core/cold_share.c
@@ -10,25 +10,25 @@
 
 /* A list holds all VMs that had registered so long before it was asked for: a read that may be old
  * is some seconds old. */
-#define LIST_OLD_US 10000000
+#define LIST_STALENESS_US 10000000
 /* Lists are read every 12 s; one that could not be read is not relied on for long. */
-#define LIST_TRUSTED_US 15000000
+#define LIST_VALID_US 15000000
 /* Shares are worked out anew every few seconds: for so long one may be used past its time. */
-#define SHARE_USED_US 5000000
+#define SHARE_REFRESH_US 5000000
 /* By then every VM whose list is trusted has this one in it. */
-#define MEMBER_LEAST_US (LIST_OLD_US + LIST_TRUSTED_US + SHARE_USED_US)
+#define MEMBER_MIN_US (LIST_STALENESS_US + LIST_VALID_US + SHARE_REFRESH_US)
 
 bool cold_share_is_trusted(const cold_members_t *members, uint64_t now_us)
 {
 	if (!members->member_us || !members->listed_us)
 		return false;
-	return now_us >= members->member_us + MEMBER_LEAST_US &&
-	       now_us < members->listed_us + LIST_TRUSTED_US;
+	return now_us >= members->member_us + MEMBER_MIN_US &&
+	       now_us < members->listed_us + LIST_VALID_US;
 }
 
 /* VMs within a factor of two are alike. By what each is, and not by how it compares: a VM that is
  * added must not change the order of the others. */
-static int strength_of(const vm_t *vm)
+static int speed_class_of(const vm_t *vm)
 {
 	return -(int)floor(log2(MAX(vm_part_us(vm), 1)));
 }
@@ -38,44 +38,44 @@
 	return XXH64(vm->name, strlen(vm->name), salt);
 }
 
-static uint32_t whole_share(const cold_bound_t *bound)
+static uint32_t max_requests(const cold_limit_t *bound)
 {
 	return (uint32_t)CLAMP(bound->per_s, 1, G_MAXINT32);
 }
 
-/* Whether fewer than @p most go before this VM. */
+/* Whether fewer than @p max go before this VM. */
 static bool is_among_first(const cold_members_t *members, const vm_t *own,
-			   const cold_bound_t *bound, const char *id, uint32_t most)
+			   const cold_limit_t *bound, const char *id, uint32_t max)
 {
 	uint64_t salt = XXH64(id, strlen(id), 0), rank = rank_of(own, salt);
-	int strength = strength_of(own);
+	int speed_class = speed_class_of(own);
 	uint32_t before = 0;
 
-	for (guint i = 0; i < members->vms->len && before < most; i++) {
+	for (guint i = 0; i < members->vms->len && before < max; i++) {
 		const vm_t *vm = g_ptr_array_index(members->vms, i);
-		int other = bound->gathered ? strength_of(vm) : strength;
+		int other = bound->gathered ? speed_class_of(vm) : speed_class;
 
-		if (other != strength)
-			before += other > strength;
+		if (other != speed_class)
+			before += other > speed_class;
 		else if (vm != own)
 			before += rank_of(vm, salt) < rank;
 	}
-	return before < most;
+	return before < max;
 }
 
-uint32_t cold_share_of(const cold_members_t *members, const cold_bound_t *bound, const char *id)
+uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *bound, const char *id)
 {
 	const vm_t *own = vm_find(members->vms, members->own_name);
-	uint32_t most = whole_share(bound);
+	uint32_t max = max_requests(bound);
 
 	if (!own)
 		return 0;
-	if (members->vms->len <= most)
-		return most / members->vms->len;
-	return is_among_first(members, own, bound, id, most) ? 1 : 0;
+	if (members->vms->len <= max)
+		return max / members->vms->len;
+	return is_among_first(members, own, bound, id, max) ? 1 : 0;
 }
 
-uint64_t cold_share_window_us(const cold_bound_t *bound)
+uint64_t cold_share_window_us(const cold_limit_t *bound)
 {
 	double second_us = 1e6 / CLAMP(bound->per_s, 1e-3, 1);
 
--- a/src/core/cold_share.h
+++ b/src/core/cold_share.h
@@ -31,10 +31,10 @@
 } cold_members_t;
 
 /** What a searcher bears while it is cold. */
-typedef struct cold_bound_t {
+typedef struct cold_limit_t {
 	double per_s;  /**< 0: any number */
 	bool gathered; /**< its service is one of many shards: VMs that gather come first */
-} cold_bound_t;
+} cold_limit_t;
 
 /** Whether what is known of the other VMs is enough to send a cold searcher anything. */
 bool cold_share_is_trusted(const cold_members_t *members, uint64_t now_us);
@@ -42,8 +42,8 @@
  * Sub-requests that this VM may send the searcher @p id in each window.
  * @return 0 for none
  */
-uint32_t cold_share_of(const cold_members_t *members, const cold_bound_t *bound, const char *id);
+uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *bound, const char *id);
 /** The window for @p bound: longer where less than one request a second is borne. */
-uint64_t cold_share_window_us(const cold_bound_t *bound);
+uint64_t cold_share_window_us(const cold_limit_t *bound);
 
 #endif
--- a/src/core/connection_share.c
+++ b/src/core/connection_share.c
@@ -11,19 +11,19 @@
 
 /* Left free of a searcher's connections: VMs that start before others have closed theirs, and a
  * searcher that takes fewer while its queue is long. */
-#define USED 0.9
+#define CONNECTIONS_USED_SHARE 0.9
 /* One to work on and one for a second request; with less for each VM, not every VM may hold any. */
-#define ENOUGH_EACH 2
+#define MIN_CONNECTIONS_EACH 2
 
 /* VMs that were added a moment ago are not in the list yet. */
-#define VMS_SPARE 1
+#define UNLISTED_VMS 1
 
-void vm_counts_take(vm_counts_t *counts, const GPtrArray *vms)
+void vm_counts_set(vm_counts_t *counts, const GPtrArray *vms)
 {
 	counts->all = 0;
 	if (!vms->len)
 		return;
-	counts->all = vms->len + VMS_SPARE;
+	counts->all = vms->len + UNLISTED_VMS;
 	counts->by_region = g_hash_table_new(g_str_hash, g_str_equal);
 	for (guint i = 0; i < vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(vms, i);
@@ -110,10 +110,10 @@
  */
 void connection_share_set(pool_t *pool, uint32_t connections, const vm_counts_t *vms)
 {
-	double used = vms->all ? connections * USED : 0;
+	double used = vms->all ? connections * CONNECTIONS_USED_SHARE : 0;
 	uint32_t each = (uint32_t)(used / MAX(vms->all, 1));
 	const searcher_t *backup = backup_of(pool, vms);
-	bool spread = each < ENOUGH_EACH && vms->by_region && has_near(pool);
+	bool spread = each < MIN_CONNECTIONS_EACH && vms->by_region && has_near(pool);
 
 	for (guint i = 0; i < pool->searchers->len; i++) {
 		searcher_t *searcher = g_ptr_array_index(pool->searchers, i);
--- a/src/core/connection_share.h
+++ b/src/core/connection_share.h
@@ -24,7 +24,7 @@
 /**
  * Count @p vms, vm_t. @p counts has its name and regions.
  */
-void vm_counts_take(vm_counts_t *counts, const GPtrArray *vms);
+void vm_counts_set(vm_counts_t *counts, const GPtrArray *vms);
 void vm_counts_clear(vm_counts_t *counts);
 
 /** Set connections_most of all searchers of @p pool, each of which takes @p connections. */
--- a/src/core/evacuation.c
+++ b/src/core/evacuation.c
@@ -6,7 +6,7 @@
 
 /* Operators write again what a restored store has lost; to go without a data centre for some
  * seconds more does less harm than to send work to one that is about to lose its power. */
-#define REWRITE_US 5000000
+#define RESTORE_GRACE_US 5000000
 
 typedef struct entry_t {
 	bool listed;  /* in the list that is being taken in */
@@ -16,8 +16,9 @@
 struct evacuations_t {
 	const evacuations_ops_t *ops;
 	void *ctx;
-	GHashTable *entries;   /* data centre to entry_t */
-	uint64_t rewritten_us; /* when all that a restored store has lost is written again */
+	GHashTable *entries; /* data centre to entry_t */
+	uint64_t
+		restore_grace_end_us; /* when all that a restored store has lost is written again */
 };
 
 evacuations_t *evacuations_new(const evacuations_ops_t *ops, void *ctx)
@@ -85,7 +86,7 @@
 
 void evacuations_store_restored(evacuations_t *evacuations, uint64_t now_us)
 {
-	evacuations->rewritten_us = now_us + REWRITE_US;
+	evacuations->restore_grace_end_us = now_us + RESTORE_GRACE_US;
 }
 
 uint32_t evacuations_count(const evacuations_t *evacuations)
@@ -109,8 +110,8 @@
 {
 	const char *name = first_missing(evacuations);
 
-	if (name && now_us < evacuations->rewritten_us)
-		return evacuations->rewritten_us;
+	if (name && now_us < evacuations->restore_grace_end_us)
+		return evacuations->restore_grace_end_us;
 	while (name) {
 		evacuations_remove(evacuations, name);
 		name = first_missing(evacuations);
--- a/src/core/forward_end.c
+++ b/src/core/forward_end.c
@@ -4,30 +4,38 @@
  */
 #include "core/forward.h"
 
-const char *forward_end_name(forward_end_t end)
+const char *forward_outcome_name(forward_outcome_t outcome)
 {
-	static const char *const names[FORWARD_ENDS] = {
-		[FORWARD_ANSWERED] = "answered", [FORWARD_NOT_READY] = "not-ready",
-		[FORWARD_NO_ROUTE] = "no-route", [FORWARD_NO_SEARCHER] = "no-searcher",
-		[FORWARD_LEAVING] = "leaving",	 [FORWARD_TOO_LATE] = "too-late",
-		[FORWARD_FULL] = "full",	 [FORWARD_REJECTED] = "rejected",
-		[FORWARD_TOO_FEW] = "too-few",	 [FORWARD_FAILED] = "failed",
-		[FORWARD_TIMEOUT] = "timeout",	 [FORWARD_BLOCKED] = "blocked",
+	static const char *const names[FORWARD_OUTCOMES] = {
+		[FORWARD_ANSWERED] = "answered",
+		[FORWARD_NOT_READY] = "not-ready",
+		[FORWARD_NO_ROUTE] = "no-route",
+		[FORWARD_NO_SEARCHER] = "no-searcher",
+		[FORWARD_SHUTTING_DOWN] = "leaving",
+		[FORWARD_TOO_LATE] = "too-late",
+		[FORWARD_FULL] = "full",
+		[FORWARD_REJECTED] = "rejected",
+		[FORWARD_TOO_FEW] = "too-few",
+		[FORWARD_FAILED] = "failed",
+		[FORWARD_TIMEOUT] = "timeout",
+		[FORWARD_BLOCKED] = "blocked",
 		[FORWARD_DEFERRED] = "deferred",
 	};
 
-	return names[end];
+	return names[outcome];
 }
 
-int forward_end_status(forward_end_t end)
+int forward_outcome_status(forward_outcome_t outcome)
 {
-	static const int statuses[FORWARD_ENDS] = {
-		[FORWARD_ANSWERED] = 200,    [FORWARD_NOT_READY] = 503, [FORWARD_NO_ROUTE] = 404,
-		[FORWARD_NO_SEARCHER] = 503, [FORWARD_LEAVING] = 503,	[FORWARD_TOO_LATE] = 503,
-		[FORWARD_FULL] = 503,	     [FORWARD_REJECTED] = 503,	[FORWARD_TOO_FEW] = 502,
-		[FORWARD_FAILED] = 502,	     [FORWARD_TIMEOUT] = 504,	[FORWARD_BLOCKED] = 503,
+	static const int statuses[FORWARD_OUTCOMES] = {
+		[FORWARD_ANSWERED] = 200,      [FORWARD_NOT_READY] = 503,
+		[FORWARD_NO_ROUTE] = 404,      [FORWARD_NO_SEARCHER] = 503,
+		[FORWARD_SHUTTING_DOWN] = 503, [FORWARD_TOO_LATE] = 503,
+		[FORWARD_FULL] = 503,	       [FORWARD_REJECTED] = 503,
+		[FORWARD_TOO_FEW] = 502,       [FORWARD_FAILED] = 502,
+		[FORWARD_TIMEOUT] = 504,       [FORWARD_BLOCKED] = 503,
 		[FORWARD_DEFERRED] = 503,
 	};
 
-	return statuses[end];
+	return statuses[outcome];
 }
--- a/src/core/forward_suspect.c
+++ b/src/core/forward_suspect.c
@@ -20,7 +20,7 @@
 
 /* A part that is in shows that searchers survive it, those of its shard at least: from there on the
  * request is like any other, and the record of its other shards stands. */
-bool forward_is_careful(const forward_t *forward, uint64_t now_us)
+bool forward_is_suspect(const forward_t *forward, uint64_t now_us)
 {
 	return !forward->answered && verdict_of(forward, now_us) != POISON_CLEAR;
 }
@@ -50,10 +50,10 @@
 {
 	for (uint32_t i = 0; i < forward->part_count; i++)
 		if (part_is_held(&forward->parts[i]))
-			part_go_on(&forward->parts[i], now_us);
+			part_resume(&forward->parts[i], now_us);
 }
 
-void forward_lose_held(forward_t *forward)
+void forward_lose_held_parts(forward_t *forward)
 {
 	for (uint32_t i = 0; i < forward->part_count; i++)
 		if (part_is_held(&forward->parts[i]))
@@ -64,7 +64,7 @@
 {
 	double least_us = MIN(TRIAL_LEAST_US, forward->state->patience_us * TRIAL_LEAST_SHARE);
 
-	return (double)forward_left_us(forward, now_us) >= least_us;
+	return (double)forward_time_left_us(forward, now_us) >= least_us;
 }
 
 static void ask_turn(forward_t *forward, uint64_t now_us)
@@ -96,7 +96,7 @@
  * One that was claimed is the only one of its attempt, whatever came of it. One that was answered
  * needs no other: kept to the attempt's end, its turn would end that of whoever has it by then.
  */
-void forward_probe_over(forward_t *forward, const trial_end_t *end, uint64_t now_us)
+void forward_probe_ended(forward_t *forward, const trial_end_t *end, uint64_t now_us)
 {
 	forward->probe = NULL;
 	if (!end->ran || !forward->has_trial || (!forward->answered && !has_claimed(forward)))
@@ -125,37 +125,37 @@
 	while (forward->has_turn && !forward->probe && has_hope(forward) &&
 	       (part = held_part(forward))) {
 		forward->probe = part;
-		part_go_on(part, now_us);
+		part_resume(part, now_us);
 	}
 }
 
-void forward_go_on_with_held(forward_t *forward, uint64_t now_us)
+void forward_resume_held(forward_t *forward, uint64_t now_us)
 {
 	if (!held_part(forward))
 		return;
-	if (!forward_is_careful(forward, now_us))
+	if (!forward_is_suspect(forward, now_us))
 		release_held(forward, now_us);
 	else if (!forward->probe && verdict_of(forward, now_us) == POISON_BLOCKED)
-		forward_lose_held(forward);
+		forward_lose_held_parts(forward);
 	else
 		probe(forward, now_us);
 	if (forward->has_lost_turn)
-		forward_lose_held(forward);
+		forward_lose_held_parts(forward);
 }
 
-forward_end_t forward_suspect_end(const forward_t *forward, uint64_t now_us)
+forward_outcome_t forward_suspect_outcome(const forward_t *forward, uint64_t now_us)
 {
 	bool blocked = verdict_of(forward, now_us) == POISON_BLOCKED;
 
-	if ((!blocked && !forward->has_lost_turn) || forward_has_run_somewhere(forward))
-		return FORWARD_ENDS;
+	if ((!blocked && !forward->has_lost_turn) || forward_may_have_run(forward))
+		return FORWARD_OUTCOMES;
 	return blocked ? FORWARD_BLOCKED : FORWARD_DEFERRED;
 }
 
 /* Whether the sub-request that was sent alone is still out. */
 static bool has_probe_out(const forward_t *forward)
 {
-	return forward->probe && forward->probe->out && forward->probe->out->len;
+	return forward->probe && forward->probe->in_flight && forward->probe->in_flight->len;
 }
 
 void forward_end_trial(const forward_t *forward, uint64_t now_us)
@@ -163,7 +163,7 @@
 	trial_end_t end = {.outcome = "not-sent", .searcher = ""};
 
 	if (has_probe_out(forward)) {
-		const sub_t *sub = g_ptr_array_index(forward->probe->out, 0);
+		const subrequest_t *sub = g_ptr_array_index(forward->probe->in_flight, 0);
 
 		end = (trial_end_t){
 			.ran = true, .outcome = "given-up", .searcher = sub->searcher->id};
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -8,13 +8,13 @@
 
 /* The caller's clock started a trip earlier, and the answer needs another, of some ms each, and a
  * turn of this loop. */
-#define WAY_US 9000
+#define NETWORK_MARGIN_US 9000
 /* Callers that do not say how long they wait, on routes without a timeout. */
-#define PATIENCE_UNKNOWN_US 5000000
+#define DEFAULT_CALLER_TIMEOUT_US 5000000
 /* A caller that left must not keep searchers at work for half a second: close well before that. */
-#define LEFT_US 250000
+#define ABANDONED_CANCEL_US 250000
 
-static void on_warm(void *ctx, uint64_t now_us);
+static void on_cold_timer(void *ctx, uint64_t now_us);
 
 forwarder_t *forwarder_new(const forwarder_ops_t *ops, void *ctx, registry_t *registry,
 			   uint32_t seed)
@@ -29,8 +29,8 @@
 	forwarder->rand = g_rand_new_with_seed(seed);
 	forwarder->poison = poison_new(ops->poison, ctx, seed);
 	timers_init(&forwarder->timers);
-	timers_init(&forwarder->watches);
-	forwarder->warm_timer = (timer_entry_t){.fire = on_warm, .ctx = forwarder};
+	timers_init(&forwarder->hang_timers);
+	forwarder->cold_timer = (timer_entry_t){.fire = on_cold_timer, .ctx = forwarder};
 	return forwarder;
 }
 
@@ -40,7 +40,7 @@
 	g_hash_table_unref(forwarder->states);
 	poison_free(forwarder->poison);
 	timers_clear(&forwarder->timers);
-	timers_clear(&forwarder->watches);
+	timers_clear(&forwarder->hang_timers);
 	g_rand_free(forwarder->rand);
 	g_free(forwarder);
 }
@@ -50,7 +50,7 @@
  * searchers, cold ones, and the requests that have waited, in one turn. Without the bound all of
  * these would go to them.
  */
-static void set_cold_bounds(const forwarder_t *forwarder)
+static void set_cold_limits(const forwarder_t *forwarder)
 {
 	const routing_t *routing = forwarder->routing;
 	GHashTableIter iter;
@@ -58,10 +58,10 @@
 
 	g_hash_table_iter_init(&iter, routing->services);
 	while (g_hash_table_iter_next(&iter, &service, &value)) {
-		const service_terms_t *terms = value;
+		const service_limits_t *terms = value;
 		pool_t *pool = registry_pool(forwarder->registry, service);
 
-		pool->cold = (cold_bound_t){.per_s = terms->cold_per_s,
+		pool->cold = (cold_limit_t){.per_s = terms->cold_per_s,
 					    .gathered = !routing_is_single(routing, service)};
 		pool->cold_us = terms->cold_us;
 	}
@@ -71,7 +71,7 @@
 {
 	routing_unref(forwarder->routing);
 	forwarder->routing = routing;
-	set_cold_bounds(forwarder);
+	set_cold_limits(forwarder);
 }
 
 const routing_t *forwarder_routing(const forwarder_t *forwarder)
@@ -82,19 +82,19 @@
 uint64_t forwarder_next_us(const forwarder_t *forwarder)
 {
 	uint64_t own_us =
-		MIN(timers_next_us(&forwarder->timers), timers_next_us(&forwarder->watches));
+		MIN(timers_next_us(&forwarder->timers), timers_next_us(&forwarder->hang_timers));
 
 	return MIN(own_us, poison_next_us(forwarder->poison));
 }
 
-void forwarder_leave(forwarder_t *forwarder)
+void forwarder_stop_accepting(forwarder_t *forwarder)
 {
-	forwarder->leaving = true;
+	forwarder->shutting_down = true;
 }
 
 void forwarder_run(forwarder_t *forwarder, uint64_t now_us)
 {
-	timers_run(&forwarder->watches, now_us);
+	timers_run(&forwarder->hang_timers, now_us);
 	poison_run(forwarder->poison, now_us);
 	timers_run(&forwarder->timers, now_us);
 }
@@ -132,53 +132,55 @@
 
 /* ---- replies ---- */
 
-void forwarder_sight(forwarder_t *forwarder, const sub_t *sub, sighting_type_t type,
-		     uint64_t now_us)
+void forwarder_share_observation(forwarder_t *forwarder, const subrequest_t *sub,
+				 observation_type_t type, uint64_t now_us)
 {
-	const sighting_t sighting = {.type = type,
-				     .searcher = sub->searcher->id,
-				     .born_ms = sub->searcher->born_ms,
-				     .after_us = now_us - sub->sending.sent_us};
+	const observation_t observation = {.type = type,
+					   .searcher = sub->searcher->id,
+					   .born_ms = sub->searcher->born_ms,
+					   .after_us = now_us - sub->sending.sent_us};
 
 	/* The time to connect says little of the searcher, and is long when many VMs start. */
-	if (sub->connects || !forwarder->ops->sighted)
+	if (sub->opens_connection || !forwarder->ops->observed)
 		return;
-	if (sighting_filter_passes(&forwarder->sightings, type, now_us))
-		forwarder->ops->sighted(forwarder->ctx, &sighting);
+	if (observation_filter_passes(&forwarder->observation_filter, type, now_us))
+		forwarder->ops->observed(forwarder->ctx, &observation);
 }
 
-void forwarder_take_sighting(forwarder_t *forwarder, const sighting_t *sighting, uint64_t now_us)
+void forwarder_take_observation(forwarder_t *forwarder, const observation_t *observation,
+				uint64_t now_us)
 {
-	if (sighting_filter_passes(&forwarder->sightings, sighting->type, now_us))
-		sighting_take(forwarder->registry, sighting, now_us);
+	if (observation_filter_passes(&forwarder->observation_filter, observation->type, now_us))
+		observation_apply(forwarder->registry, observation, now_us);
 }
 
-static void measure_answer(forwarder_t *forwarder, sub_t *sub, uint64_t took_us, uint64_t now_us)
+static void measure_answer(forwarder_t *forwarder, subrequest_t *sub, uint64_t took_us,
+			   uint64_t now_us)
 {
 	double expected_us = placement_expected_us(sub->searcher, sub->pool, now_us);
-	bool is_news = sighting_is_news(sub->searcher, expected_us, took_us, now_us);
+	bool is_unexpected = observation_is_unexpected(sub->searcher, expected_us, took_us, now_us);
 
-	sighting_filter_note(&forwarder->sightings, is_news, now_us);
-	route_state_note(sub->route, false);
+	observation_filter_note(&forwarder->observation_filter, is_unexpected, now_us);
+	route_state_note_hang(sub->route, false);
 	route_state_note_time(sub->route, took_us, expected_us);
-	if (is_news)
-		forwarder_sight(forwarder, sub, SIGHTING_ANSWERED, now_us);
+	if (is_unexpected)
+		forwarder_share_observation(forwarder, sub, OBSERVATION_ANSWERED, now_us);
 	searcher_note_answer(sub->searcher, took_us, now_us);
 	quantile_add(&sub->pool->typical, took_us);
 	latency_buckets_add(&sub->pool->latency, took_us);
 }
 
 /* What an end says of the searcher's process, and of what its request does to searchers. */
-static void note_survival(forwarder_t *forwarder, const sub_t *sub, const sub_reply_t *reply,
+static void note_survival(forwarder_t *forwarder, const subrequest_t *sub, const sub_reply_t *reply,
 			  uint64_t now_us)
 {
 	poison_t *poison = forwarder->poison;
 	const poison_sending_t sending = {.sent_us = sub->sending.sent_us,
 					  .on_trial = sub->on_trial,
-					  .kept = !sub->connects,
+					  .kept = !sub->opens_connection,
 					  .answered = sub->forward && sub->forward->answered};
 
-	switch (reply->end) {
+	switch (reply->outcome) {
 	case SUB_ANSWERED:
 		poison_note_answered(poison, sub->fingerprint, sub->pool->service, now_us);
 		poison_note_alive(poison, sub->searcher, sub->sending.sent_us);
@@ -191,7 +193,7 @@
 		poison_note_ended(poison, sub->searcher, now_us);
 		break;
 	default:
-		if (reply->broken && !sub->served)
+		if (reply->broken && !sub->superseded)
 			poison_note_lost(poison, sub->fingerprint, sub->searcher, &sending, now_us);
 	}
 }
@@ -212,7 +214,7 @@
 	return forwarder->poison;
 }
 
-bool forwarder_blocks(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us)
+bool forwarder_is_blocked(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us)
 {
 	return poison_judge(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
 }
@@ -222,21 +224,22 @@
 		      uint64_t now_us)
 {
 	forwarder->counters.loads_malformed += reply->load_malformed;
-	if (!reply->load_told || reply->end == SUB_REPLACED)
+	if (!reply->load_reported || reply->outcome == SUB_REPLACED)
 		return;
-	forwarder->counters.loads_told++;
+	forwarder->counters.loads_reported++;
 	searcher->load = reply->load;
 	searcher->load.at_us = now_us;
 }
 
-static void measure(forwarder_t *forwarder, sub_t *sub, const sub_reply_t *reply, uint64_t now_us)
+static void measure(forwarder_t *forwarder, subrequest_t *sub, const sub_reply_t *reply,
+		    uint64_t now_us)
 {
 	uint64_t took_us = now_us - sub->sending.sent_us;
 
-	forwarder->counters.sub_ends[reply->end]++;
+	forwarder->counters.sub_ends[reply->outcome]++;
 	note_survival(forwarder, sub, reply, now_us);
 	note_load(forwarder, sub->searcher, reply, now_us);
-	switch (reply->end) {
+	switch (reply->outcome) {
 	case SUB_ANSWERED:
 		measure_answer(forwarder, sub, took_us, now_us);
 		break;
@@ -251,15 +254,16 @@
 	}
 }
 
-static void take_reply(sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+static void take_reply(subrequest_t *sub, sub_reply_t *reply, uint64_t now_us)
 {
 	forward_t *forward = sub->forward;
 
 	part_take_reply(&forward->parts[sub->part], sub, reply, now_us);
-	forward_go_on(forward, now_us);
+	forward_advance(forward, now_us);
 }
 
-void forwarder_sub_ended(forwarder_t *forwarder, sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+void forwarder_sub_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
+			 uint64_t now_us)
 {
 	pool_t *pool = sub->pool;
 
@@ -268,12 +272,12 @@
 		take_reply(sub, reply, now_us);
 	else
 		sub_reply_free(reply);
-	sub_free(sub);
-	forwarder_room(forwarder, pool->service, now_us);
+	subrequest_free(sub);
+	forwarder_dispatch_waiting(forwarder, pool->service, now_us);
 }
 
 /* The first waiting part for which nobody is left, or NULL. */
-static part_t *hopeless_part(const pool_t *pool)
+static part_t *part_without_candidates(const pool_t *pool)
 {
 	for (GList *item = pool->waiting.head; item; item = item->next) {
 		part_t *part = item->data;
@@ -286,20 +290,20 @@
 }
 
 /* Searchers that leave while parts wait for them must not leave those waiting to their deadline. */
-static void lose_hopeless(pool_t *pool, uint64_t now_us)
+static void lose_without_candidates(pool_t *pool, uint64_t now_us)
 {
 	part_t *part;
 
-	while ((part = hopeless_part(pool))) {
+	while ((part = part_without_candidates(pool))) {
 		forward_t *forward = part->forward;
 
 		part_lose(part);
-		if (!forward_settle(forward, now_us))
-			forward_arm(forward, now_us);
+		if (!forward_try_answer(forward, now_us))
+			forward_set_timer(forward, now_us);
 	}
 }
 
-void forwarder_room(forwarder_t *forwarder, const char *service, uint64_t now_us)
+void forwarder_dispatch_waiting(forwarder_t *forwarder, const char *service, uint64_t now_us)
 {
 	pool_t *pool = registry_pool(forwarder->registry, service);
 	GList *next;
@@ -310,22 +314,22 @@
 		searcher_t *searcher = part_choose(part, now_us);
 
 		next = item->next;
-		if (!searcher && !part->asked && !forward->route->regions && forward->probe != part)
+		if (!searcher && !part->tried && !forward->route->regions && forward->probe != part)
 			break; /* nobody has room, for any part */
 		if (!searcher)
 			continue;
 		part_send_waiting(part, searcher, now_us);
-		if (forward_settle(forward, now_us))
+		if (forward_try_answer(forward, now_us))
 			next = pool->waiting.head; /* its other parts have left, too */
 		else
-			forward_arm(forward, now_us);
+			forward_set_timer(forward, now_us);
 	}
-	lose_hopeless(pool, now_us);
+	lose_without_candidates(pool, now_us);
 }
 
-void forwarder_look_at(forwarder_t *forwarder, uint64_t at_us)
+void forwarder_dispatch_at(forwarder_t *forwarder, uint64_t at_us)
 {
-	timer_entry_t *timer = &forwarder->warm_timer;
+	timer_entry_t *timer = &forwarder->cold_timer;
 
 	if (at_us != UINT64_MAX && (!timer->place || at_us < timer->at_us))
 		timers_set(&forwarder->timers, timer, at_us);
@@ -333,7 +337,7 @@
 
 /* No answer comes from a searcher that is sent nothing: those that wait for it to warm up would
  * wait to their deadline. */
-static void on_warm(void *ctx, uint64_t now_us)
+static void on_cold_timer(void *ctx, uint64_t now_us)
 {
 	forwarder_t *forwarder = ctx;
 	g_autoptr(GList) pools = g_hash_table_get_values(registry_pools(forwarder->registry));
@@ -342,11 +346,11 @@
 		const pool_t *pool = item->data;
 
 		if (pool->waiting.length)
-			forwarder_room(forwarder, pool->service, now_us);
+			forwarder_dispatch_waiting(forwarder, pool->service, now_us);
 		if (pool->waiting.length) {
 			const candidates_t candidates = part_candidates(pool->waiting.head->data);
 
-			forwarder_look_at(forwarder, placement_warm_us(&candidates, now_us));
+			forwarder_dispatch_at(forwarder, placement_warm_us(&candidates, now_us));
 		}
 	}
 }
@@ -360,14 +364,14 @@
 	part->forward = forward;
 	part->pool = registry_pool(forward->forwarder->registry, service);
 	part->state = PART_WAITING;
-	if (!forward->request.again)
+	if (!forward->request.is_resend)
 		retry_budget_note_request(&part->pool->budget, now_us);
 	else if (!retry_budget_take(&part->pool->budget, &part->pool->bound, RETRY_FOR_ANSWER,
 				    now_us))
 		part_lose(part);
 }
 
-static void lay_out_parts(forward_t *forward, uint64_t now_us)
+static void create_parts(forward_t *forward, uint64_t now_us)
 {
 	const GArray *targets = forward->route->targets;
 
@@ -388,7 +392,7 @@
 }
 
 /* Before anything is sent: what is hopeless from the start must not put any searcher to work. */
-static void lose_impossible(forward_t *forward)
+static void lose_unservable(forward_t *forward)
 {
 	for (uint32_t i = 0; i < forward->part_count; i++) {
 		part_t *part = &forward->parts[i];
@@ -401,16 +405,18 @@
 
 forward_times_t forward_times(const forward_request_t *request, const route_t *route)
 {
-	uint64_t wait_us = request->patience_us ? request->patience_us : PATIENCE_UNKNOWN_US;
+	uint64_t wait_us = request->patience_us ? request->patience_us : DEFAULT_CALLER_TIMEOUT_US;
 	uint64_t target_us = route->target_us;
 
 	if (route->timeout_us)
 		wait_us = MIN(wait_us, route->timeout_us);
 	return (forward_times_t){
-		.deadline_us = request->received_us +
-			       (wait_us > 2 * WAY_US ? wait_us - WAY_US : wait_us / 2),
-		.partial_us = request->received_us +
-			      (target_us > 2 * WAY_US ? target_us - WAY_US : target_us / 2)};
+		.deadline_us = request->received_us + (wait_us > 2 * NETWORK_MARGIN_US
+							       ? wait_us - NETWORK_MARGIN_US
+							       : wait_us / 2),
+		.partial_us = request->received_us + (target_us > 2 * NETWORK_MARGIN_US
+							      ? target_us - NETWORK_MARGIN_US
+							      : target_us / 2)};
 }
 
 static void set_times(forward_t *forward)
@@ -422,17 +428,17 @@
 }
 
 static void answer_unrouted(forwarder_t *forwarder, const forward_request_t *request, void *owner,
-			    forward_end_t end)
+			    forward_outcome_t outcome)
 {
 	forward_t forward = {.forwarder = forwarder, .request = *request, .owner = owner};
-	forward_answer_t answer = {.end = end};
+	forward_answer_t answer = {.outcome = outcome};
 	bool away = registry_is_store_away(forwarder->registry);
 
-	if (end == FORWARD_NOT_READY)
+	if (outcome == FORWARD_NOT_READY)
 		answer.retry_after_us = retry_after_us(LACK_NEWS, request->patience_us, away);
-	if (end == FORWARD_LEAVING)
+	if (outcome == FORWARD_SHUTTING_DOWN)
 		answer.retry_after_us = retry_after_us(LACK_VM, request->patience_us, away);
-	forwarder->counters.ends[end]++;
+	forwarder->counters.ends[outcome]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
 
@@ -441,7 +447,7 @@
  * after the others were sent, the request could not be refused as not run: searchers worked for
  * nothing, and the caller was told of a failure in place of when to come back.
  */
-static bool is_hopeless(const forward_t *forward, uint64_t now_us)
+static bool is_coverage_unreachable(const forward_t *forward, uint64_t now_us)
 {
 	uint32_t hopeless = forward->lost;
 
@@ -450,7 +456,7 @@
 		const candidates_t candidates = part_candidates(part);
 
 		if (part->state == PART_WAITING && !placement_has_room(&candidates, now_us))
-			hopeless += part_waits_in_vain(part, now_us);
+			hopeless += part_would_miss_deadline(part, now_us);
 	}
 	return !forward_has_enough(forward, forward->part_count - hopeless);
 }
@@ -501,8 +507,8 @@
 	forward_t *forward;
 
 	forwarder->counters.requests++;
-	if (forwarder->leaving) {
-		answer_unrouted(forwarder, request, owner, FORWARD_LEAVING);
+	if (forwarder->shutting_down) {
+		answer_unrouted(forwarder, request, owner, FORWARD_SHUTTING_DOWN);
 		return NULL;
 	}
 	if (!forwarder->routing || !registry_is_known(forwarder->registry)) {
@@ -522,44 +528,44 @@
 	forward->route = route;
 	forward->state = state_of(forwarder, route);
 	route_state_note_patience(forward->state, request->patience_us);
-	forward->timer = (timer_entry_t){.fire = forward_tick, .ctx = forward};
-	forward->attempts_most = request->attempts_most
-					 ? MIN(request->attempts_most, route->attempts_most)
-					 : route->attempts_most;
+	forward->timer = (timer_entry_t){.fire = forward_on_timer, .ctx = forward};
+	forward->max_attempts = request->max_attempts
+					? MIN(request->max_attempts, route->max_attempts)
+					: route->max_attempts;
 	forwarder->open++;
 	set_times(forward);
-	lay_out_parts(forward, now_us);
+	create_parts(forward, now_us);
 	/* Read late, after a long turn of the loop: a searcher would work for nobody. */
-	if (forward_left_us(forward, now_us) == 0) {
+	if (forward_time_left_us(forward, now_us) == 0) {
 		forward_refuse(forward, FORWARD_TOO_LATE, now_us);
 		return NULL;
 	}
-	lose_impossible(forward);
-	if (forward_settle(forward, now_us))
+	lose_unservable(forward);
+	if (forward_try_answer(forward, now_us))
 		return NULL;
-	if (is_hopeless(forward, now_us)) {
+	if (is_coverage_unreachable(forward, now_us)) {
 		forward_refuse(forward, FORWARD_FULL, now_us);
 		return NULL;
 	}
-	if (!forward_is_careful(forward, now_us))
+	if (!forward_is_suspect(forward, now_us))
 		start_parts(forward, now_us);
-	return forward_go_on(forward, now_us) ? NULL : forward;
+	return forward_advance(forward, now_us) ? NULL : forward;
 }
 
-void forward_allow_more(forward_t *forward, uint32_t more, uint64_t now_us)
+void forward_allow_attempts(forward_t *forward, uint32_t more, uint64_t now_us)
 {
-	uint32_t left = forward->route->attempts_most - forward->attempts_most;
+	uint32_t left = forward->route->max_attempts - forward->max_attempts;
 
-	forward->attempts_most += MIN(more, left);
+	forward->max_attempts += MIN(more, left);
 	for (uint32_t i = 0; i < forward->part_count; i++)
-		part_allow_more(&forward->parts[i], now_us);
-	forward_arm(forward, now_us);
+		part_allow_attempts(&forward->parts[i], now_us);
+	forward_set_timer(forward, now_us);
 }
 
 void forwarder_abandon(forwarder_t *forwarder, forward_t *forward, uint64_t now_us)
 {
 	forwarder->counters.left++;
 	forward->finished = true;
-	forward_release(forward, LEFT_US, now_us);
+	forward_release(forward, ABANDONED_CANCEL_US, now_us);
 	forward_free(forward, now_us);
 }
--- a/src/core/handover.c
+++ b/src/core/handover.c
@@ -159,9 +159,9 @@
 }
 
 /* The statuses of these ends promise that nothing ran. */
-static bool promises(forward_end_t end)
+static bool promises(forward_outcome_t end)
 {
-	int status = forward_end_status(end);
+	int status = forward_outcome_status(end);
 
 	return status == 503 || status == 429;
 }
@@ -183,7 +183,7 @@
 	handover_free(handover);
 }
 
-static void finish_lost(handover_t *handover, forward_end_t end)
+static void finish_lost(handover_t *handover, forward_outcome_t end)
 {
 	finish(handover, &(hop_answer_t){.end = end});
 }
--- a/src/core/hop_message.c
+++ b/src/core/hop_message.c
@@ -120,7 +120,7 @@
 
 static void take_answer(fields_t *fields, hop_answer_t *answer)
 {
-	answer->end = (forward_end_t)take_number(fields, FORWARD_ENDS - 1);
+	answer->end = (forward_outcome_t)take_number(fields, FORWARD_OUTCOMES - 1);
 	answer->parts = (uint32_t)take_number(fields, UINT32_MAX);
 	answer->missing = (uint32_t)take_number(fields, UINT32_MAX);
 	answer->retry_after_us = take_number(fields, UINT64_MAX);
--- a/src/core/hop_message.h
+++ b/src/core/hop_message.h
@@ -68,7 +68,7 @@
 
 /** The end of a gather. */
 typedef struct hop_answer_t {
-	forward_end_t end;
+	forward_outcome_t end;
 	uint32_t parts, missing;
 	uint64_t retry_after_us; /**< not run: when to come back */
 	hop_bytes_t stamps;
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -9,26 +9,26 @@
 
 /* A sub-request that is out for longer than this many times the usual met a pause, a slow searcher
  * or a queue in most cases, and there are fewer of those than the budget allows. */
-#define HEDGE_TIMES 1.5
+#define HEDGE_LATENCY_FACTOR 1.5
 /* So much more when the budget is used up: then hardly any but what pauses or hangs is sent once
  * more. */
-#define HEDGE_TIMES_SPENT 0.8
-#define HEDGE_LEAST_US 13000
+#define HEDGE_SPENT_FACTOR 0.8
+#define HEDGE_MIN_US 13000
 /* Room for a second answer that takes longer than expected. */
-#define HEDGE_LATE_TIMES 1.3
+#define HEDGE_ANSWER_FACTOR 1.3
 /* So few searchers may pause at the same time. */
-#define HEDGE_ALONE_PARTS 3
+#define HEDGE_HELD_MIN_PARTS 3
 /* When the budget refuses, ask again after so long. */
-#define HEDGE_AGAIN_US 20000
+#define HEDGE_RECHECK_US 20000
 /* Refusals end a part only after so many: each is an arrival that the budget counts. */
-#define REFUSALS_MOST 3
+#define MAX_REFUSALS 3
 /* Three refusals in a row; two may be a moment at which it is full. */
-#define REFUSES_A_SHARE 0.3
+#define REFUSAL_RATE_MIN 0.3
 
 candidates_t part_candidates(const part_t *part)
 {
 	return (candidates_t){
-		.pool = part->pool, .route = part->forward->route, .asked = part->asked};
+		.pool = part->pool, .route = part->forward->route, .asked = part->tried};
 }
 
 static bool is_possible(const part_t *part)
@@ -40,7 +40,7 @@
 
 static bool may_run_again(const part_t *part)
 {
-	return part->forward->route->idempotent && part->runs < part->forward->attempts_most;
+	return part->forward->route->idempotent && part->runs < part->forward->max_attempts;
 }
 
 /*
@@ -54,20 +54,20 @@
  */
 static uint64_t hedge_due_us(part_t *part, uint64_t now_us)
 {
-	const searcher_t *asked = g_ptr_array_index(part->asked, part->asked->len - 1);
+	const searcher_t *latest = g_ptr_array_index(part->tried, part->tried->len - 1);
 	const retry_bound_t *bound = &part->pool->bound;
 	double spent = 1 - retry_budget_share_left(&part->pool->budget, bound, now_us);
 	double expected_us =
-		route_state_expected_us(part->forward->state, asked, part->pool, now_us);
-	double after_us = expected_us * (HEDGE_TIMES + spent * HEDGE_TIMES_SPENT);
+		route_state_expected_us(part->forward->state, latest, part->pool, now_us);
+	double after_us = expected_us * (HEDGE_LATENCY_FACTOR + spent * HEDGE_SPENT_FACTOR);
 
-	return part->sent_us + (uint64_t)MAX(after_us, HEDGE_LEAST_US);
+	return part->sent_us + (uint64_t)MAX(after_us, HEDGE_MIN_US);
 }
 
 /* The last moment at which a second answer still comes within the target. */
 static uint64_t hedge_late_us(const forward_t *forward, double cost_us)
 {
-	uint64_t need_us = (uint64_t)(cost_us * HEDGE_LATE_TIMES);
+	uint64_t need_us = (uint64_t)(cost_us * HEDGE_ANSWER_FACTOR);
 
 	return forward->partial_us > need_us ? forward->partial_us - need_us : 0;
 }
@@ -76,15 +76,15 @@
 {
 	forward_t *forward = part->forward;
 	forwarder_t *forwarder = forward->forwarder;
-	sub_t *sub = sub_new(part, searcher, purpose, now_us);
+	subrequest_t *sub = subrequest_new(part, searcher, purpose, now_us);
 
 	placement_note_sent(part->pool, searcher, now_us);
-	if (!part->asked) {
-		part->asked = g_ptr_array_new_with_free_func((GDestroyNotify)searcher_unref);
-		part->out = g_ptr_array_new();
+	if (!part->tried) {
+		part->tried = g_ptr_array_new_with_free_func((GDestroyNotify)searcher_unref);
+		part->in_flight = g_ptr_array_new();
 	}
-	g_ptr_array_add(part->asked, searcher_ref(searcher));
-	g_ptr_array_add(part->out, sub);
+	g_ptr_array_add(part->tried, searcher_ref(searcher));
+	g_ptr_array_add(part->in_flight, sub);
 	if (purpose == SUB_FIRST)
 		shedding_note_part(part->pool, false);
 	part->state = PART_SENT;
@@ -138,7 +138,7 @@
 	const candidates_t candidates = part_candidates(part);
 
 	part_insert(part);
-	forwarder_look_at(part->forward->forwarder, placement_warm_us(&candidates, now_us));
+	forwarder_dispatch_at(part->forward->forwarder, placement_warm_us(&candidates, now_us));
 	part->state = PART_WAITING;
 	part->forward->forwarder->counters.waited++;
 }
@@ -167,9 +167,9 @@
 			part_move_up(&forward->parts[i]);
 }
 
-static void part_crowd_out(part_t *part)
+static void part_refuse_queueing(part_t *part)
 {
-	part->crowded = true;
+	part->queue_too_long = true;
 	part_lose(part);
 }
 
@@ -182,7 +182,7 @@
 }
 
 /* Refused now, its caller can come back in time; held, it would be refused at its deadline. */
-bool part_waits_in_vain(const part_t *part, uint64_t now_us)
+bool part_would_miss_deadline(const part_t *part, uint64_t now_us)
 {
 	const candidates_t candidates = part_candidates(part);
 	double usual_us = placement_typical_us(part->pool);
@@ -199,8 +199,8 @@
 	shedding_note_wait(part->pool, now_us);
 	if (shedding_is_allowed(part->forward) && shedding_waits_too_long(part, now_us))
 		part_shed(part);
-	else if (part_waits_in_vain(part, now_us))
-		part_crowd_out(part);
+	else if (part_would_miss_deadline(part, now_us))
+		part_refuse_queueing(part);
 	else
 		part_queue(part, now_us);
 }
@@ -244,10 +244,10 @@
  * shard is of no use, if the request has enough without it; the next one is. A suspect that is cut
  * short shows nothing: its searcher may have been about to end.
  */
-uint64_t sub_left_us(const sub_t *sub, uint64_t now_us)
+uint64_t subrequest_time_left_us(const subrequest_t *sub, uint64_t now_us)
 {
 	const forward_t *forward = sub->forward;
-	uint64_t left_us = forward_left_us(forward, now_us);
+	uint64_t left_us = forward_time_left_us(forward, now_us);
 
 	if (forward->probe == &forward->parts[sub->part] || forward->partial_us <= now_us ||
 	    !shedding_is_on(sub->pool, now_us) || !shedding_is_allowed(forward))
@@ -262,9 +262,9 @@
  * those that run it. Its hedges would gain nothing, or end as many searchers again before the first
  * end is known. Where all near searchers went silent, they still come within the target.
  */
-static bool may_be_pauses(const forward_t *forward)
+static bool may_hedge_early(const forward_t *forward)
 {
-	return forward->answered || forward->part_count < HEDGE_ALONE_PARTS;
+	return forward->answered || forward->part_count < HEDGE_HELD_MIN_PARTS;
 }
 
 /* To connect costs the searcher a handshake, and late parts come in numbers. */
@@ -273,7 +273,7 @@
 {
 	uint64_t due_us = hedge_due_us(part, now_us);
 
-	if (!may_be_pauses(part->forward))
+	if (!may_hedge_early(part->forward))
 		return MAX(due_us, late_us);
 	return searcher->idle ? MIN(due_us, late_us) : late_us;
 }
@@ -289,13 +289,13 @@
 	part->hedge_us = 0;
 	if (!may_run_again(part))
 		return;
-	if (forward_is_careful(part->forward, now_us)) {
-		part->hedge_us = now_us + HEDGE_AGAIN_US;
+	if (forward_is_suspect(part->forward, now_us)) {
+		part->hedge_us = now_us + HEDGE_RECHECK_US;
 		return;
 	}
 	searcher = placement_choose(&candidates, forwarder->rand, now_us);
 	if (!searcher || searcher->probes) {
-		part->hedge_us = now_us + HEDGE_AGAIN_US;
+		part->hedge_us = now_us + HEDGE_RECHECK_US;
 		return;
 	}
 	late_us = hedge_late_us(part->forward, placement_cost_us(searcher, part->pool, now_us));
@@ -305,23 +305,23 @@
 	else if (retry_budget_take(&part->pool->budget, bound, RETRY_FOR_SPEED, now_us))
 		part_send(part, searcher, SUB_HEDGE, now_us);
 	else
-		part->hedge_us = now_us < late_us ? late_us : now_us + HEDGE_AGAIN_US;
+		part->hedge_us = now_us < late_us ? late_us : now_us + HEDGE_RECHECK_US;
 }
 
 /* ---- replies ---- */
 
-static bool has_not_run(sub_end_t end)
+static bool has_not_run(sub_outcome_t outcome)
 {
-	return end == SUB_NOT_RUN || end == SUB_REPLACED || end == SUB_NOT_SENT;
+	return outcome == SUB_NOT_RUN || outcome == SUB_REPLACED || outcome == SUB_NOT_SENT;
 }
 
-static bool may_retry(part_t *part, sub_end_t end, uint64_t now_us)
+static bool may_retry(part_t *part, sub_outcome_t outcome, uint64_t now_us)
 {
 	const retry_bound_t *bound = &part->pool->bound;
 
-	if (end == SUB_NOT_SENT)
-		return part->refusals <= REFUSALS_MOST;
-	if (has_not_run(end) ? part->refusals > REFUSALS_MOST : !may_run_again(part))
+	if (outcome == SUB_NOT_SENT)
+		return part->refusals <= MAX_REFUSALS;
+	if (has_not_run(outcome) ? part->refusals > MAX_REFUSALS : !may_run_again(part))
 		return false;
 	return retry_budget_take(&part->pool->budget, bound, RETRY_FOR_ANSWER, now_us);
 }
@@ -330,9 +330,9 @@
  * A searcher's failure says that it ran. A second try that is refused afterwards must not take its
  * place, or the caller would be told that the request has not run.
  */
-static void part_keep(part_t *part, sub_reply_t *reply)
+static void part_store_reply(part_t *part, sub_reply_t *reply)
 {
-	if (part->reply && part->reply->end == SUB_FAILED && has_not_run(reply->end)) {
+	if (part->reply && part->reply->outcome == SUB_FAILED && has_not_run(reply->outcome)) {
 		sub_reply_free(reply);
 		return;
 	}
@@ -347,11 +347,11 @@
 	return part->state == PART_WAITING && !part->is_queued;
 }
 
-void part_go_on(part_t *part, uint64_t now_us)
+void part_resume(part_t *part, uint64_t now_us)
 {
 	bool again = part->runs || part->refusals;
 
-	if (again && !may_retry(part, part->last_end, now_us))
+	if (again && !may_retry(part, part->last_outcome, now_us))
 		part_lose(part);
 	else if (!part_start(part, again ? SUB_RETRY : SUB_FIRST, now_us))
 		part_wait(part, now_us);
@@ -363,38 +363,39 @@
  * next sub-request of the request waits until the one before has shown that a searcher survives it.
  * One that was sent alone and is lost, too, is not followed by others.
  */
-static void hold(part_t *part, bool gives_up)
+static void part_hold(part_t *part, bool gives_up)
 {
 	part->state = PART_WAITING;
 	if (gives_up)
-		forward_lose_held(part->forward);
+		forward_lose_held_parts(part->forward);
 }
 
-static void part_failed(part_t *part, const sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+static void part_failed(part_t *part, const subrequest_t *sub, sub_reply_t *reply, uint64_t now_us)
 {
-	sub_end_t end = reply->end;
+	sub_outcome_t outcome = reply->outcome;
 	forward_t *forward = part->forward;
 	bool gives_up = reply->broken && forward->probe == part;
 
-	if (has_not_run(end)) {
+	if (has_not_run(outcome)) {
 		part->runs--;
 		part->refusals++;
 	}
-	part->unknown = part->unknown || end == SUB_UNKNOWN;
-	part->last_end = end;
+	part->unknown = part->unknown || outcome == SUB_UNKNOWN;
+	part->last_outcome = outcome;
 	if (forward->probe == part)
-		forward_probe_over(
-			forward,
-			&(trial_end_t){.ran = !has_not_run(end),
-				       .outcome = reply->broken ? "broken" : sub_end_name(end),
-				       .searcher = sub->searcher->id},
-			now_us);
-	part_keep(part, reply);
-	if (part->out->len) /* another one is out: its end decides */
+		forward_probe_ended(forward,
+				    &(trial_end_t){.ran = !has_not_run(outcome),
+						   .outcome = reply->broken
+								      ? "broken"
+								      : sub_outcome_name(outcome),
+						   .searcher = sub->searcher->id},
+				    now_us);
+	part_store_reply(part, reply);
+	if (part->in_flight->len) /* another one is out: its end decides */
 		return;
-	if (forward_is_careful(forward, now_us))
-		hold(part, gives_up);
-	else if (!may_retry(part, end, now_us))
+	if (forward_is_suspect(forward, now_us))
+		part_hold(part, gives_up);
+	else if (!may_retry(part, outcome, now_us))
 		part_lose(part);
 	else if (!part_start(part, SUB_RETRY, now_us))
 		part_wait(part, now_us);
@@ -413,7 +414,8 @@
 	}
 }
 
-static void part_answered(part_t *part, const sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+static void part_answered(part_t *part, const subrequest_t *sub, sub_reply_t *reply,
+			  uint64_t now_us)
 {
 	sub_reply_free(part->reply);
 	part->reply = reply;
@@ -421,39 +423,39 @@
 	if (!part->forward->answered++)
 		hedge_others(part, now_us);
 	if (part->forward->probe == part)
-		forward_probe_over(part->forward,
-				   &(trial_end_t){.ran = true,
-						  .outcome = "answered",
-						  .searcher = sub->searcher->id},
-				   now_us);
-	for (guint i = 0; i < part->out->len; i++)
-		((sub_t *)g_ptr_array_index(part->out, i))->served = true;
+		forward_probe_ended(part->forward,
+				    &(trial_end_t){.ran = true,
+						   .outcome = "answered",
+						   .searcher = sub->searcher->id},
+				    now_us);
+	for (guint i = 0; i < part->in_flight->len; i++)
+		((subrequest_t *)g_ptr_array_index(part->in_flight, i))->superseded = true;
 }
 
 /*
  * A searcher that refuses a share of what it is sent may take the same part the next time; one that
  * has refused once is full for now.
  */
-static void forgive(part_t *part, searcher_t *searcher, uint64_t now_us)
+static void allow_retry_at(part_t *part, searcher_t *searcher, uint64_t now_us)
 {
-	if (yield_lost(&searcher->yield, now_us) > REFUSES_A_SHARE && !is_possible(part))
-		g_ptr_array_remove(part->asked, searcher);
+	if (failure_rate_now(&searcher->yield, now_us) > REFUSAL_RATE_MIN && !is_possible(part))
+		g_ptr_array_remove(part->tried, searcher);
 }
 
-void part_take_reply(part_t *part, sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+void part_take_reply(part_t *part, subrequest_t *sub, sub_reply_t *reply, uint64_t now_us)
 {
-	g_ptr_array_remove_fast(part->out, sub);
-	if (reply->end == SUB_NOT_RUN)
-		forgive(part, sub->searcher, now_us);
+	g_ptr_array_remove_fast(part->in_flight, sub);
+	if (reply->outcome == SUB_NOT_RUN)
+		allow_retry_at(part, sub->searcher, now_us);
 	if (part->state != PART_SENT)
 		sub_reply_free(reply);
-	else if (reply->end == SUB_ANSWERED)
+	else if (reply->outcome == SUB_ANSWERED)
 		part_answered(part, sub, reply, now_us);
 	else
 		part_failed(part, sub, reply, now_us);
 }
 
-void part_allow_more(part_t *part, uint64_t now_us)
+void part_allow_attempts(part_t *part, uint64_t now_us)
 {
 	if (part->state != PART_SENT || part->hedge_us || !may_run_again(part))
 		return;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -219,7 +219,7 @@
 		cost_us += STUCK_US;
 	else if (now_us < searcher->stuck_until_us)
 		cost_us += STUCK_TOLD_US;
-	cost_us += yield_lost(&searcher->yield, now_us) * LOST_US;
+	cost_us += failure_rate_now(&searcher->yield, now_us) * LOST_US;
 	if (now_us < searcher->avoid_until_us)
 		cost_us += AVOID_US;
 	return cost_us;
--- a/src/core/registry.h
+++ b/src/core/registry.h
@@ -27,7 +27,7 @@
 	latency_buckets_t latency; /**< the same, for metrics */
 	GQueue waiting;		   /**< parts that found no room, by rank and age */
 	double shed_share;	   /**< of its parts of late that were left out */
-	cold_bound_t cold;	   /**< on what cold searchers are sent */
+	cold_limit_t cold;	   /**< on what cold searchers are sent */
 	uint64_t cold_us;	   /**< for so long a searcher may be cold that is used again */
 	uint64_t short_us;	   /**< when a part last found no room; 0: never */
 } pool_t;
--- a/src/core/route_state.c
+++ b/src/core/route_state.c
@@ -5,30 +5,30 @@
 #include "core/route_state.h"
 
 /* Weight of one sub-request: a gather of 10 parts moves the share by two thirds. */
-#define HUNG_WEIGHT 0.1
+#define HANG_RATE_WEIGHT 0.1
 /* A lasting change of what a route's requests take is followed within a dozen of them. */
 #define RELATIVE_STEP 0.06
-#define RELATIVE_WHOLE 1000
+#define RELATIVE_UNIT 1000
 /* Callers that come back have less time left than at first, some of them one after the other. */
-#define PATIENCE_STEP 0.02
+#define PATIENCE_DECAY 0.02
 /* Where a route begins: two answers in time, and it tells. */
-#define HUNG_FIRST 0.5
+#define HANG_RATE_INITIAL 0.5
 /* More searchers than that are not dark or slow at once, unless a data centre is lost. */
-#define HUNG_MOST 0.45
+#define HANG_RATE_MAX 0.45
 
 /*
  * Routes with requests that last for longer than any pause, by their nature, exist beside others
  * that use the same searchers. Each such request would have its searcher avoided by all VMs that
  * are told, for a second and more.
  */
-bool route_state_tells(const route_state_t *state)
+bool route_state_implicates_searcher(const route_state_t *state)
 {
-	return state->hung < HUNG_MOST;
+	return state->hang_rate < HANG_RATE_MAX;
 }
 
-void route_state_note(route_state_t *state, bool hangs)
+void route_state_note_hang(route_state_t *state, bool hangs)
 {
-	state->hung += HUNG_WEIGHT * ((hangs ? 1 : 0) - state->hung);
+	state->hang_rate += HANG_RATE_WEIGHT * ((hangs ? 1 : 0) - state->hang_rate);
 }
 
 double route_state_expected_us(const route_state_t *state, const searcher_t *searcher,
@@ -36,14 +36,15 @@
 {
 	double expected_us = placement_expected_us(searcher, pool, now_us);
 
-	return state->relative.value_us > 0
-		       ? expected_us * state->relative.value_us / RELATIVE_WHOLE
+	return state->relative_latency.value_us > 0
+		       ? expected_us * state->relative_latency.value_us / RELATIVE_UNIT
 		       : expected_us;
 }
 
 void route_state_note_time(route_state_t *state, uint64_t took_us, double expected_us)
 {
-	quantile_add(&state->relative, (uint64_t)((double)took_us * RELATIVE_WHOLE / expected_us));
+	quantile_add(&state->relative_latency,
+		     (uint64_t)((double)took_us * RELATIVE_UNIT / expected_us));
 }
 
 void route_state_note_patience(route_state_t *state, uint64_t patience_us)
@@ -51,15 +52,15 @@
 	double less_us = state->patience_us - (double)patience_us;
 
 	if (patience_us)
-		state->patience_us -= less_us > 0 ? less_us * PATIENCE_STEP : less_us;
+		state->patience_us -= less_us > 0 ? less_us * PATIENCE_DECAY : less_us;
 }
 
 route_state_t *route_state_new(void)
 {
 	route_state_t *state = g_new0(route_state_t, 1);
 
-	state->relative = (quantile_t){.fraction = 0.5, .step = RELATIVE_STEP};
-	state->hung = HUNG_FIRST;
+	state->relative_latency = (quantile_t){.fraction = 0.5, .step = RELATIVE_STEP};
+	state->hang_rate = HANG_RATE_INITIAL;
 	state->credits = g_array_new(FALSE, TRUE, sizeof(double));
 	return state;
 }
--- a/src/core/route_state.h
+++ b/src/core/route_state.h
@@ -13,10 +13,11 @@
 #include "core/routing.h"
 
 typedef struct route_state_t {
-	quantile_t relative; /**< median of its sub-requests, in 1/1000 of what was expected */
-	double hung;	     /**< share of its latest sub-requests that were not answered in time */
-	double patience_us;  /**< how long its callers wait; the longest count */
-	GArray *credits;     /**< double: for the shares of a split, by target */
+	quantile_t
+		relative_latency; /**< median of its sub-requests, in 1/1000 of what was expected */
+	double hang_rate;   /**< share of its latest sub-requests that were not answered in time */
+	double patience_us; /**< how long its callers wait; the longest count */
+	GArray *credits;    /**< double: for the shares of a split, by target */
 	latency_buckets_t latency; /**< of its answers, from the caller's request on */
 } route_state_t;
 
@@ -28,9 +29,9 @@
 double route_state_expected_us(const route_state_t *state, const searcher_t *searcher,
 			       const pool_t *pool, uint64_t now_us);
 /** One of the route's sub-requests was answered, or hangs. */
-void route_state_note(route_state_t *state, bool hangs);
+void route_state_note_hang(route_state_t *state, bool hangs);
 /** Whether a late sub-request of the route says something of the searcher, and not of the route. */
-bool route_state_tells(const route_state_t *state);
+bool route_state_implicates_searcher(const route_state_t *state);
 /** A caller of the route waits for so long; 0: it did not say. */
 void route_state_note_patience(route_state_t *state, uint64_t patience_us);
 /** The target of a split, route_target_t, that the next request goes to. */
--- a/src/core/routing.c
+++ b/src/core/routing.c
@@ -104,10 +104,10 @@
 	return false;
 }
 
-uint32_t routing_strange_regions(const routing_t *routing, GHashTable *regions,
+uint32_t routing_unknown_regions(const routing_t *routing, GHashTable *regions,
 				 const route_t **route, const char **region)
 {
-	uint32_t strange = 0;
+	uint32_t unknown = 0;
 
 	for (guint i = 0; i < routing->routes->len; i++) {
 		const route_t *each = g_ptr_array_index(routing->routes, i);
@@ -117,16 +117,17 @@
 
 			if (is_region(regions, name))
 				continue;
-			if (!strange++) {
+			if (!unknown++) {
 				*route = each;
 				*region = name;
 			}
 		}
 	}
-	return strange;
+	return unknown;
 }
 
-void routing_set_terms(routing_t *routing, const char *service, const service_terms_t *terms)
+void routing_set_service_limits(routing_t *routing, const char *service,
+				const service_limits_t *terms)
 {
 	g_hash_table_insert(routing->services, g_strdup(service), g_memdup2(terms, sizeof(*terms)));
 }
@@ -185,11 +186,11 @@
 	return NULL;
 }
 
-service_terms_t routing_terms(const routing_t *routing, const char *service)
+service_limits_t routing_service_limits(const routing_t *routing, const char *service)
 {
-	const service_terms_t *terms = g_hash_table_lookup(routing->services, service);
+	const service_limits_t *terms = g_hash_table_lookup(routing->services, service);
 
-	return terms ? *terms : (service_terms_t){0};
+	return terms ? *terms : (service_limits_t){0};
 }
 
 bool routing_is_single(const routing_t *routing, const char *service)
@@ -197,27 +198,27 @@
 	return g_hash_table_contains(routing->singles, service);
 }
 
-static uint32_t least_connections(const routing_t *routing, const route_t *route, uint32_t least)
+static uint32_t min_connections(const routing_t *routing, const route_t *route, uint32_t min)
 {
 	for (guint i = 0; i < route->targets->len; i++) {
 		const char *service = g_array_index(route->targets, route_target_t, i).service;
-		uint32_t connections = routing_terms(routing, service).connections;
+		uint32_t connections = routing_service_limits(routing, service).connections;
 
-		if (connections && (!least || connections < least))
-			least = connections;
+		if (connections && (!min || connections < min))
+			min = connections;
 	}
-	return least;
+	return min;
 }
 
-uint32_t routing_gather_connections(const routing_t *routing)
+uint32_t routing_min_gather_connections(const routing_t *routing)
 {
-	uint32_t least = 0;
+	uint32_t min = 0;
 
 	for (guint i = 0; i < routing->routes->len; i++) {
 		const route_t *route = g_ptr_array_index(routing->routes, i);
 
 		if (route->gathers)
-			least = least_connections(routing, route, least);
+			min = min_connections(routing, route, min);
 	}
-	return least;
+	return min;
 }
--- a/src/core/searcher.c
+++ b/src/core/searcher.c
@@ -84,7 +84,7 @@
 	searcher->answered_us = now_us;
 	searcher->served_us = MAX(searcher->served_us, now_us - latency_us);
 	searcher->stuck_until_us = 0;
-	yield_note(&searcher->yield, false, now_us);
+	failure_rate_note(&searcher->yield, false, now_us);
 	searcher_note_heard(searcher, latency_us, now_us);
 }
 
@@ -108,7 +108,7 @@
 {
 	uint64_t avoid_us = AVOID_FIRST_US << MIN(searcher->failures, 8);
 
-	yield_note(&searcher->yield, true, now_us);
+	failure_rate_note(&searcher->yield, true, now_us);
 	searcher->failures++;
 	searcher->avoid_until_us = now_us + MIN(avoid_us, AVOID_MOST_US);
 }
@@ -126,7 +126,7 @@
 
 void searcher_note_refusal(searcher_t *searcher, uint64_t now_us)
 {
-	yield_note(&searcher->yield, true, now_us);
+	failure_rate_note(&searcher->yield, true, now_us);
 }
 
 const char *searcher_state_name(searcher_state_t state)
--- a/src/core/searcher.h
+++ b/src/core/searcher.h
@@ -65,8 +65,8 @@
 	uint64_t sampled_us;	 /**< when latency_us was last fed; 0: never */
 	GQueue out;		 /**< attempts sent and not ended, oldest first */
 	uint32_t failures;	 /**< in a row, without an answer in between */
-	yield_t yield;		 /**< what it refuses, fails or loses */
-	told_load_t load;	 /**< as it last told it */
+	failure_rate_t yield;	 /**< what it refuses, fails or loses */
+	reported_load_t load;	 /**< as it last told it */
 	uint64_t avoid_until_us; /**< after failures: only if there is nobody else */
 	uint64_t answered_us;	 /**< when it last answered this VM; 0: never */
 	uint64_t served_us;	 /**< the latest sending that it has answered; 0: none */
--- a/src/core/sharing.c
+++ b/src/core/sharing.c
@@ -6,37 +6,38 @@
 
 /* Of the constant part of the bound on retries: requests for one service that reach a searcher of
  * another one count there, too. */
-#define CONSTANT_USED 0.8
+#define CONSTANT_USED_SHARE 0.8
 /* Of the connections and of the constant: for VMs that gather. The rest is for those that gather
  * for themselves because they reach no gatherer. */
-#define GATHERERS_PART 0.75
+#define GATHERERS_SHARE 0.75
 
 static sharers_t sharers_of(const fleet_t *fleet, const GPtrArray *vms, const char *own_name)
 {
 	sharers_t sharers = {.counts = {.own_name = own_name, .regions = fleet->regions},
-			     .part = 1};
+			     .fraction = 1};
 
-	vm_counts_take(&sharers.counts, vms);
+	vm_counts_set(&sharers.counts, vms);
 	/* Of all VMs it is one before it is listed, too. */
-	sharers.own = vms->len == fleet->vms->len || vm_find(vms, own_name);
+	sharers.is_member = vms->len == fleet->vms->len || vm_find(vms, own_name);
 	return sharers;
 }
 
-void sharing_take(sharing_t *sharing, const fleet_t *fleet, const char *own_name, uint32_t constant)
+void sharing_update(sharing_t *sharing, const fleet_t *fleet, const char *own_name,
+		    uint32_t constant)
 {
 	g_autoptr(GPtrArray) gatherers = gatherers_of_all(fleet);
 	bool few = gatherers->len < fleet->vms->len;
 
-	sharing->constant = CONSTANT_USED * constant;
+	sharing->constant = CONSTANT_USED_SHARE * constant;
 	sharing->all = sharers_of(fleet, fleet->vms, own_name);
 	sharing->gatherers = sharers_of(fleet, gatherers, own_name);
 	if (!few)
 		return;
-	if (sharing->gatherers.own) {
-		sharing->gatherers.part = GATHERERS_PART;
+	if (sharing->gatherers.is_member) {
+		sharing->gatherers.fraction = GATHERERS_SHARE;
 		return;
 	}
-	sharing->gatherers.part = 1 - GATHERERS_PART;
+	sharing->gatherers.fraction = 1 - GATHERERS_SHARE;
 	sharing->gatherers.counts.all = sharing->all.counts.all;
 }
 
@@ -50,23 +51,24 @@
 {
 	bool single = routing && routing_is_single(routing, pool->service);
 	const sharers_t *sharers = single ? &sharing->all : &sharing->gatherers;
-	uint32_t connections = routing ? routing_terms(routing, pool->service).connections : 0;
+	uint32_t connections =
+		routing ? routing_service_limits(routing, pool->service).connections : 0;
 	uint32_t vms = sharers->counts.all;
 
-	if (!sharers->own)
+	if (!sharers->is_member)
 		connections = 0;
-	connection_share_set(pool, (uint32_t)(connections * sharers->part), &sharers->counts);
-	pool->bound.constant = vms ? sharing->constant * sharers->part / vms : 0;
-	return routing && sharers->own && vms;
+	connection_share_set(pool, (uint32_t)(connections * sharers->fraction), &sharers->counts);
+	pool->bound.constant = vms ? sharing->constant * sharers->fraction / vms : 0;
+	return routing && sharers->is_member && vms;
 }
 
-void sharing_take_members(sharing_t *sharing, const cold_members_t *members, bool changed,
-			  uint64_t now_us)
+void sharing_update_members(sharing_t *sharing, const cold_members_t *members, bool changed,
+			    uint64_t now_us)
 {
-	bool trusted = cold_share_is_trusted(members, now_us);
+	bool list_current = cold_share_is_trusted(members, now_us);
 
-	sharing->fleet += changed || trusted != sharing->trusted;
-	sharing->trusted = trusted;
+	sharing->fleet_version += changed || list_current != sharing->list_current;
+	sharing->list_current = list_current;
 }
 
 void sharing_apply_cold(const sharing_t *sharing, const cold_members_t *members, pool_t *pool,
@@ -77,10 +79,12 @@
 	for (guint i = 0; i < pool->searchers->len; i++) {
 		searcher_t *searcher = g_ptr_array_index(pool->searchers, i);
 
-		if (now_us >= searcher->cold_until_us || searcher->cold_fleet == sharing->fleet)
+		if (now_us >= searcher->cold_until_us ||
+		    searcher->cold_fleet == sharing->fleet_version)
 			continue;
-		searcher->cold_fleet = sharing->fleet;
-		searcher->cold_share =
-			sharing->trusted ? cold_share_of(members, &pool->cold, searcher->id) : 0;
+		searcher->cold_fleet = sharing->fleet_version;
+		searcher->cold_share = sharing->list_current
+					       ? cold_share_of(members, &pool->cold, searcher->id)
+					       : 0;
 	}
 }
--- a/src/core/sighting.c
+++ b/src/core/sighting.c
@@ -5,44 +5,47 @@
 #include "core/sighting.h"
 
 /* Beyond what the routes of one service differ by, and well below what a slow searcher takes. */
-#define NEWS_TIMES 2.5
+#define UNEXPECTED_FACTOR 2.5
 /* Weight of one sub-request in the share of odd ones: one gather of tens of parts moves most of it.
  */
-#define ODD_WEIGHT 0.05
+#define UNEXPECTED_WEIGHT 0.05
 /* A VM that is slow itself, or cut off, sees nearly all searchers slow or dark; told, that would
  * turn the others away from sound ones. */
-#define ODD_MOST 0.6
+#define UNEXPECTED_SHARE_MAX 0.6
 /*
  * VMs that start together all connect at once, and wait for each other's handshakes of 6 ms. Told
  * as slowness, that turns them from the near searchers to the far ones, where they have to connect
  * as well, beyond what those take. So slowness counts only once a VM has its connections; by then
  * the searchers' own are back to the usual, too.
  */
-#define SETTLE_US 6000000
+#define STARTUP_SETTLE_US 6000000
 /* How long searchers pause. */
-#define PAUSE_US 200000
+#define SEARCHER_PAUSE_US 200000
 
-bool sighting_is_news(const searcher_t *searcher, double expected_us, uint64_t took_us,
-		      uint64_t now_us)
+bool observation_is_unexpected(const searcher_t *searcher, double expected_us, uint64_t took_us,
+			       uint64_t now_us)
 {
 	double took = (double)MAX(took_us, 1);
 
-	return took > expected_us * NEWS_TIMES || took * NEWS_TIMES < expected_us ||
+	return took > expected_us * UNEXPECTED_FACTOR || took * UNEXPECTED_FACTOR < expected_us ||
 	       now_us < searcher->avoid_until_us;
 }
 
-void sighting_filter_note(sighting_filter_t *filter, bool odd, uint64_t now_us)
+void observation_filter_note(observation_filter_t *filter, bool unexpected, uint64_t now_us)
 {
-	if (!filter->first_us)
-		filter->first_us = now_us;
-	filter->odd += ODD_WEIGHT * ((odd ? 1 : 0) - filter->odd);
+	if (!filter->first_sent_us)
+		filter->first_sent_us = now_us;
+	filter->unexpected_share +=
+		UNEXPECTED_WEIGHT * ((unexpected ? 1 : 0) - filter->unexpected_share);
 }
 
-bool sighting_filter_passes(const sighting_filter_t *filter, sighting_type_t type, uint64_t now_us)
+bool observation_filter_passes(const observation_filter_t *filter, observation_type_t type,
+			       uint64_t now_us)
 {
-	bool settled = filter->first_us && now_us - filter->first_us > SETTLE_US;
+	bool settled = filter->first_sent_us && now_us - filter->first_sent_us > STARTUP_SETTLE_US;
 
-	return filter->odd < ODD_MOST && (settled || type == SIGHTING_HUNG);
+	return filter->unexpected_share < UNEXPECTED_SHARE_MAX &&
+	       (settled || type == OBSERVATION_HUNG);
 }
 
 /* An answer to this VM that came after the other one had sent its sub-request. */
@@ -51,30 +54,30 @@
 	return searcher->answered_us && now_us - searcher->answered_us < after_us;
 }
 
-void sighting_take(registry_t *registry, const sighting_t *sighting, uint64_t now_us)
+void observation_apply(registry_t *registry, const observation_t *observation, uint64_t now_us)
 {
-	searcher_t *searcher = registry_find(registry, sighting->searcher);
-	uint64_t after_us = sighting->after_us;
+	searcher_t *searcher = registry_find(registry, observation->searcher);
+	uint64_t after_us = observation->after_us;
 
 	/* What was seen of an earlier start says nothing of this one. */
-	if (!searcher || searcher->born_ms != sighting->born_ms)
+	if (!searcher || searcher->born_ms != observation->born_ms)
 		return;
-	if (sighting->type == SIGHTING_ANSWERED)
+	if (observation->type == OBSERVATION_ANSWERED)
 		searcher_note_heard(searcher, after_us, now_us);
 	else if (answered_since(searcher, after_us, now_us))
 		return;
-	else if (sighting->type == SIGHTING_HUNG)
+	else if (observation->type == OBSERVATION_HUNG)
 		searcher_note_hang(searcher, now_us);
-	else if (after_us < PAUSE_US)
-		searcher->stuck_until_us = now_us + PAUSE_US - after_us;
+	else if (after_us < SEARCHER_PAUSE_US)
+		searcher->stuck_until_us = now_us + SEARCHER_PAUSE_US - after_us;
 }
 
-const char *sighting_type_name(sighting_type_t type)
+const char *observation_type_name(observation_type_t type)
 {
-	static const char *const names[SIGHTING_TYPES] = {
-		[SIGHTING_ANSWERED] = "answered",
-		[SIGHTING_STUCK] = "stuck",
-		[SIGHTING_HUNG] = "hung",
+	static const char *const names[OBSERVATION_TYPES] = {
+		[OBSERVATION_ANSWERED] = "answered",
+		[OBSERVATION_STUCK] = "stuck",
+		[OBSERVATION_HUNG] = "hung",
 	};
 
 	return names[type];
--- a/src/core/sighting.h
+++ b/src/core/sighting.h
@@ -12,35 +12,37 @@
 
 #include "core/placement.h"
 
-typedef enum sighting_type_t {
-	SIGHTING_ANSWERED, /**< much later or sooner than expected */
-	SIGHTING_STUCK,	   /**< no answer yet, though one was due: a pause, or worse */
-	SIGHTING_HUNG,	   /**< no answer for longer than any pause */
-	SIGHTING_TYPES,
-} sighting_type_t;
+typedef enum observation_type_t {
+	OBSERVATION_ANSWERED, /**< much later or sooner than expected */
+	OBSERVATION_STUCK,    /**< no answer yet, though one was due: a pause, or worse */
+	OBSERVATION_HUNG,     /**< no answer for longer than any pause */
+	OBSERVATION_TYPES,
+} observation_type_t;
 
-typedef struct sighting_t {
-	sighting_type_t type;
+typedef struct observation_t {
+	observation_type_t type;
 	const char *searcher; /**< its id; borrowed */
 	uint64_t born_ms;     /**< which start of it; 0: not said */
 	uint64_t after_us;    /**< from sending a sub-request to the answer, or to now */
-} sighting_t;
+} observation_t;
 
 /** Whether what this VM sees tells of the searchers, or only of itself. Zeroed at the start. */
-typedef struct sighting_filter_t {
-	double odd; /**< share of its latest sub-requests that ended, or last, unexpectedly */
-	uint64_t first_us; /**< when it sent its first sub-request; 0: not yet */
-} sighting_filter_t;
+typedef struct observation_filter_t {
+	double unexpected_share; /**< share of its latest sub-requests that ended, or last,
+				    unexpectedly */
+	uint64_t first_sent_us;	 /**< when it sent its first sub-request; 0: not yet */
+} observation_filter_t;
 
 /** Whether an answer after @p took_us, of which @p expected_us was expected, is news to others. */
-bool sighting_is_news(const searcher_t *searcher, double expected_us, uint64_t took_us,
-		      uint64_t now_us);
-/** A sub-request has ended, or hangs; @p odd: as was not expected. */
-void sighting_filter_note(sighting_filter_t *filter, bool odd, uint64_t now_us);
+bool observation_is_unexpected(const searcher_t *searcher, double expected_us, uint64_t took_us,
+			       uint64_t now_us);
+/** A sub-request has ended, or hangs; @p unexpected: as was not expected. */
+void observation_filter_note(observation_filter_t *filter, bool unexpected, uint64_t now_us);
 /** Whether to tell @p type, or to believe another VM's. */
-bool sighting_filter_passes(const sighting_filter_t *filter, sighting_type_t type, uint64_t now_us);
+bool observation_filter_passes(const observation_filter_t *filter, observation_type_t type,
+			       uint64_t now_us);
 /** Another VM of this region has seen this. */
-void sighting_take(registry_t *registry, const sighting_t *sighting, uint64_t now_us);
-const char *sighting_type_name(sighting_type_t type);
+void observation_apply(registry_t *registry, const observation_t *observation, uint64_t now_us);
+const char *observation_type_name(observation_type_t type);
 
 #endif
--- a/src/core/sub.c
+++ b/src/core/sub.c
@@ -5,16 +5,16 @@
 #include "core/forward_private.h"
 
 /* A timer that fires so late says that this VM stood still, not the searcher. */
-#define LATE_US 50000
+#define LATE_TIMER_US 50000
 
-const char *sub_end_name(sub_end_t end)
+const char *sub_outcome_name(sub_outcome_t outcome)
 {
 	static const char *const names[] = {
 		[SUB_ANSWERED] = "answered", [SUB_FAILED] = "failed",	  [SUB_NOT_RUN] = "not-run",
 		[SUB_REPLACED] = "replaced", [SUB_NOT_SENT] = "not-sent", [SUB_UNKNOWN] = "unknown",
 	};
 
-	return names[end];
+	return names[outcome];
 }
 
 const char *sub_purpose_name(sub_purpose_t purpose)
@@ -35,11 +35,11 @@
 	return names[state];
 }
 
-sub_reply_t *sub_reply_new(sub_end_t end)
+sub_reply_t *sub_reply_new(sub_outcome_t outcome)
 {
 	sub_reply_t *reply = g_new0(sub_reply_t, 1);
 
-	reply->end = end;
+	reply->outcome = outcome;
 	return reply;
 }
 
@@ -55,9 +55,9 @@
 }
 
 /* After a long turn of the loop, or a freeze, answers may lie unread beside the timer. */
-static bool fired_late(const sub_t *sub, uint64_t now_us)
+static bool fired_late(const subrequest_t *sub, uint64_t now_us)
 {
-	return now_us > sub->watch.at_us + LATE_US;
+	return now_us > sub->hang_timer.at_us + LATE_TIMER_US;
 }
 
 /*
@@ -65,55 +65,57 @@
  * works: this request is long, or every other one hangs. A few long requests on another route made
  * all searchers of a shard look hung, one a second.
  */
-static bool tells_of_searcher(const sub_t *sub)
+static bool implicates_searcher(const subrequest_t *sub)
 {
-	return sub->searcher->served_us <= sub->sending.sent_us && route_state_tells(sub->route);
+	return sub->searcher->served_us <= sub->sending.sent_us &&
+	       route_state_implicates_searcher(sub->route);
 }
 
 static void note_hang(void *ctx, uint64_t now_us)
 {
-	sub_t *sub = ctx;
+	subrequest_t *sub = ctx;
 	forwarder_t *forwarder = sub->forwarder;
-	bool tells = tells_of_searcher(sub);
+	bool counts = implicates_searcher(sub);
 
 	if (fired_late(sub, now_us))
 		return;
-	route_state_note(sub->route, true);
-	if (!tells) {
+	route_state_note_hang(sub->route, true);
+	if (!counts) {
 		searcher_note_failure(sub->searcher, now_us);
 		return;
 	}
-	sighting_filter_note(&forwarder->sightings, true, now_us);
+	observation_filter_note(&forwarder->observation_filter, true, now_us);
 	if (now_us >= sub->searcher->avoid_until_us)
-		forwarder_sight(forwarder, sub, SIGHTING_HUNG, now_us);
+		forwarder_share_observation(forwarder, sub, OBSERVATION_HUNG, now_us);
 	searcher_note_hang(sub->searcher, now_us);
 }
 
 static void note_stuck(void *ctx, uint64_t now_us)
 {
-	sub_t *sub = ctx;
+	subrequest_t *sub = ctx;
 
-	if (!fired_late(sub, now_us) && tells_of_searcher(sub))
-		forwarder_sight(sub->forwarder, sub, SIGHTING_STUCK, now_us);
-	sub->watch.fire = note_hang;
-	timers_set(&sub->forwarder->watches, &sub->watch,
+	if (!fired_late(sub, now_us) && implicates_searcher(sub))
+		forwarder_share_observation(sub->forwarder, sub, OBSERVATION_STUCK, now_us);
+	sub->hang_timer.fire = note_hang;
+	timers_set(&sub->forwarder->hang_timers, &sub->hang_timer,
 		   sub->sending.sent_us + placement_hang_us(sub->searcher, sub->pool, now_us));
 }
 
 /* From here on its end may be the new one's doing. */
-static void end_loneliness(searcher_t *searcher)
+static void clear_isolated(searcher_t *searcher)
 {
 	for (const GList *item = searcher->out.head; item && searcher->probes; item = item->next) {
-		sub_t *other = item->data;
+		subrequest_t *other = item->data;
 
-		searcher->probes -= other->alone;
-		other->alone = false;
+		searcher->probes -= other->isolated;
+		other->isolated = false;
 	}
 }
 
-sub_t *sub_new(part_t *part, searcher_t *searcher, sub_purpose_t purpose, uint64_t now_us)
+subrequest_t *subrequest_new(part_t *part, searcher_t *searcher, sub_purpose_t purpose,
+			     uint64_t now_us)
 {
-	sub_t *sub = g_new0(sub_t, 1);
+	subrequest_t *sub = g_new0(subrequest_t, 1);
 
 	sub->forwarder = part->forward->forwarder;
 	sub->forward = part->forward;
@@ -121,47 +123,47 @@
 	sub->route = part->forward->state;
 	sub->part = (uint32_t)(part - part->forward->parts);
 	sub->purpose = purpose;
-	end_loneliness(searcher);
-	sub->alone = part->forward->probe == part && !searcher->out.length;
-	searcher->probes += sub->alone;
+	clear_isolated(searcher);
+	sub->isolated = part->forward->probe == part && !searcher->out.length;
+	searcher->probes += sub->isolated;
 	sub->on_trial = forward_is_on_trial(part);
 	sub->searcher = searcher_ref(searcher);
 	sub->pool = part->pool;
 	sub->sending.sent_us = now_us;
-	sub->connects = !searcher->idle;
+	sub->opens_connection = !searcher->idle;
 	sub->sending.link.data = sub;
-	sub->watch = (timer_entry_t){.fire = note_stuck, .ctx = sub};
-	timers_set(&sub->forwarder->watches, &sub->watch,
+	sub->hang_timer = (timer_entry_t){.fire = note_stuck, .ctx = sub};
+	timers_set(&sub->forwarder->hang_timers, &sub->hang_timer,
 		   now_us + placement_stuck_us(searcher, part->pool, now_us));
 	g_queue_push_tail_link(&searcher->out, &sub->sending.link);
 	return sub;
 }
 
-void sub_free(sub_t *sub)
+void subrequest_free(subrequest_t *sub)
 {
-	timers_cancel(&sub->forwarder->timers, &sub->leave);
-	timers_cancel(&sub->forwarder->watches, &sub->watch);
+	timers_cancel(&sub->forwarder->timers, &sub->cancel_timer);
+	timers_cancel(&sub->forwarder->hang_timers, &sub->hang_timer);
 	g_queue_unlink(&sub->searcher->out, &sub->sending.link);
-	sub->searcher->probes -= sub->alone;
+	sub->searcher->probes -= sub->isolated;
 	searcher_unref(sub->searcher);
 	g_free(sub);
 }
 
 static void cancel_unneeded(void *ctx, uint64_t now_us)
 {
-	sub_t *sub = ctx;
+	subrequest_t *sub = ctx;
 	forwarder_t *forwarder = sub->forwarder;
 	pool_t *pool = sub->pool;
 
 	forwarder->ops->cancel(forwarder->ctx, sub);
-	sub_free(sub);
-	forwarder_room(forwarder, pool->service, now_us);
+	subrequest_free(sub);
+	forwarder_dispatch_waiting(forwarder, pool->service, now_us);
 }
 
-void sub_release(sub_t *sub, uint64_t within_us, uint64_t now_us)
+void subrequest_release(subrequest_t *sub, uint64_t within_us, uint64_t now_us)
 {
 	sub->forward = NULL;
-	sub->leave.fire = cancel_unneeded;
-	sub->leave.ctx = sub;
-	timers_set(&sub->forwarder->timers, &sub->leave, now_us + within_us);
+	sub->cancel_timer.fire = cancel_unneeded;
+	sub->cancel_timer.ctx = sub;
+	timers_set(&sub->forwarder->timers, &sub->cancel_timer, now_us + within_us);
 }
--- a/src/core/told_load.h
+++ b/src/core/told_load.h
@@ -9,15 +9,15 @@
 #include <stdint.h>
 
 /** Zeroed: not told. What a searcher leaves out is 0. */
-typedef struct told_load_t {
+typedef struct reported_load_t {
 	uint32_t running, waiting, slots; /**< requests, and how many it works on at once */
 	uint32_t slowness_percent; /**< how long work takes where it runs; 100 is usual, 0: not told
 				    */
 	uint64_t at_us;		   /**< when it was heard; 0: never */
-} told_load_t;
+} reported_load_t;
 
 /** How long ago it was told; UINT64_MAX: never. */
-static inline uint64_t told_load_age_us(const told_load_t *load, uint64_t now_us)
+static inline uint64_t reported_load_age_us(const reported_load_t *load, uint64_t now_us)
 {
 	return load->at_us ? now_us - load->at_us : UINT64_MAX;
 }
--- a/src/core/top_records.c
+++ b/src/core/top_records.c
@@ -13,16 +13,16 @@
 } record_t;
 
 struct top_records_t {
-	uint32_t most;
+	uint32_t max;
 	uint32_t count;
 	record_t heap[];
 };
 
-top_records_t *top_records_new(uint32_t most)
+top_records_t *top_records_new(uint32_t max)
 {
-	top_records_t *top = g_malloc(sizeof(*top) + most * sizeof(record_t));
+	top_records_t *top = g_malloc(sizeof(*top) + max * sizeof(record_t));
 
-	top->most = most;
+	top->max = max;
 	top->count = 0;
 	return top;
 }
@@ -73,10 +73,10 @@
 
 static void add_record(top_records_t *top, record_t record)
 {
-	if (top->count < top->most) {
+	if (top->count < top->max) {
 		top->heap[top->count++] = record;
 		sift_up(top, top->count - 1);
-	} else if (top->most && record_less(top->heap[0], record)) {
+	} else if (top->max && record_less(top->heap[0], record)) {
 		sift_down(top, record);
 	}
 }
--- a/src/core/top_records.h
+++ b/src/core/top_records.h
@@ -13,8 +13,8 @@
 
 typedef struct top_records_t top_records_t;
 
-/** Keep the @p most greatest records; equal ones are all kept. */
-top_records_t *top_records_new(uint32_t most);
+/** Keep the @p max greatest records; equal ones are all kept. */
+top_records_t *top_records_new(uint32_t max);
 void top_records_free(top_records_t *top);
 /** Take in a body; a remainder shorter than a record is dropped. */
 void top_records_add(top_records_t *top, const char *body, size_t bytes);
--- a/src/core/yield.h
+++ b/src/core/yield.h
@@ -15,14 +15,14 @@
 #include <stdint.h>
 
 /** Zeroed: nothing is known, and nothing is taken to be lost. */
-typedef struct yield_t {
-	double lost; /**< share, when last noted */
-	uint64_t noted_us;
-} yield_t;
+typedef struct failure_rate_t {
+	double rate; /**< share, when last noted */
+	uint64_t updated_us;
+} failure_rate_t;
 
 /** A sub-request was answered, or came to nothing. */
-void yield_note(yield_t *yield, bool lost, uint64_t now_us);
+void failure_rate_note(failure_rate_t *failure_rate, bool failed, uint64_t now_us);
 /** The share that is lost of late, 0 to 1. */
-double yield_lost(const yield_t *yield, uint64_t now_us);
+double failure_rate_now(const failure_rate_t *failure_rate, uint64_t now_us);
 
 #endif
--- a/src/queries/front_log.c
+++ b/src/queries/front_log.c
@@ -19,11 +19,11 @@
 
 static void append_asked(GString *line, const part_t *part)
 {
-	if (!part->asked || !part->asked->len)
+	if (!part->tried || !part->tried->len)
 		g_string_append(line, "nobody");
-	for (guint i = 0; part->asked && i < part->asked->len; i++)
+	for (guint i = 0; part->tried && i < part->tried->len; i++)
 		g_string_append_printf(line, "%s%s", i ? "+" : "",
-				       ((searcher_t *)g_ptr_array_index(part->asked, i))->id);
+				       ((searcher_t *)g_ptr_array_index(part->tried, i))->id);
 }
 
 /* Searchers that the part could have been sent to, but for its route's regions, an evacuation or a
@@ -53,7 +53,7 @@
 				       part_state_name(part->state));
 		append_asked(line, part);
 		g_string_append_printf(line, ":%s",
-				       part->reply  ? sub_end_name(part->reply->end)
+				       part->reply  ? sub_outcome_name(part->reply->outcome)
 				       : part->shed ? "shard-short"
 						    : "no-reply");
 		append_passed_over(line, part);
@@ -63,7 +63,7 @@
 void front_log_answer(const char *id, const forward_t *forward, const forward_answer_t *answer,
 		      int status, uint64_t store_age_us)
 {
-	bool whole = answer->end == FORWARD_ANSWERED && !answer->missing;
+	bool whole = answer->outcome == FORWARD_ANSWERED && !answer->missing;
 	g_autoptr(GString) line = g_string_sized_new(256);
 	uint64_t took_us = loop_now_us() - forward->request.received_us;
 
@@ -73,9 +73,9 @@
 		" patience_us=%" G_GUINT64_FORMAT " parts=%u missing=%u version=%" G_GUINT64_FORMAT
 		" store_age_us=%" G_GUINT64_FORMAT,
 		id ? id : "", forward->route ? forward->route->name : "",
-		forward_end_name(answer->end), status, took_us, forward->request.patience_us,
-		answer->parts, answer->missing, forward->routing ? forward->routing->version : 0,
-		store_age_us);
+		forward_outcome_name(answer->outcome), status, took_us,
+		forward->request.patience_us, answer->parts, answer->missing,
+		forward->routing ? forward->routing->version : 0, store_age_us);
 	append_fingerprint(line, forward->request.fingerprint);
 	if (!whole)
 		append_missing(line, forward);
@@ -85,7 +85,7 @@
 void front_log_gathered(const forward_request_t *request, const handover_t *handover,
 			const forward_answer_t *answer, uint64_t store_age_us)
 {
-	bool whole = answer->end == FORWARD_ANSWERED && !answer->missing;
+	bool whole = answer->outcome == FORWARD_ANSWERED && !answer->missing;
 	g_autoptr(GString) line = g_string_sized_new(256);
 	uint64_t now_us = loop_now_us();
 
@@ -94,8 +94,8 @@
 		"event=answer request=%s outcome=%s status=%d took_us=%" G_GUINT64_FORMAT
 		" patience_us=%" G_GUINT64_FORMAT " parts=%u missing=%u gathered_by=%s asked=%u "
 		"taken=%d gather_us=%" G_GUINT64_FORMAT " store_age_us=%" G_GUINT64_FORMAT,
-		request->id ? request->id : "", forward_end_name(answer->end),
-		forward_end_status(answer->end), now_us - request->received_us,
+		request->id ? request->id : "", forward_outcome_name(answer->outcome),
+		forward_outcome_status(answer->outcome), now_us - request->received_us,
 		request->patience_us, answer->parts, answer->missing,
 		handover->gatherer ? handover->gatherer->vm->name : "nobody", handover->asked->len,
 		handover->taken, now_us - handover->begun_us, store_age_us);
@@ -104,7 +104,7 @@
 }
 
 /* What the searcher told before this reply, and how long before. */
-static void append_load(GString *line, const told_load_t *load)
+static void append_load(GString *line, const reported_load_t *load)
 {
 	if (load->at_us)
 		g_string_append_printf(line,
@@ -112,12 +112,12 @@
 				       "load_age_us=%" G_GUINT64_FORMAT,
 				       load->running, load->waiting, load->slots,
 				       load->slowness_percent,
-				       told_load_age_us(load, loop_now_us()));
+				       reported_load_age_us(load, loop_now_us()));
 }
 
-void front_log_sub(const sub_t *sub, const sub_reply_t *reply)
+void front_log_sub(const subrequest_t *sub, const sub_reply_t *reply)
 {
-	bool failed = reply->end != SUB_ANSWERED;
+	bool failed = reply->outcome != SUB_ANSWERED;
 	g_autoptr(GString) line = NULL;
 
 	if (!failed && sub->purpose == SUB_FIRST)
@@ -128,7 +128,7 @@
 			       "outcome=%s status=%d took_us=%" G_GUINT64_FORMAT " out=%u",
 			       sub->forward ? sub->forward->request.id : "-", sub->pool->service,
 			       sub->searcher->id, sub_purpose_name(sub->purpose),
-			       sub_end_name(reply->end), reply->status,
+			       sub_outcome_name(reply->outcome), reply->status,
 			       loop_now_us() - sub->sending.sent_us, sub->searcher->out.length);
 	append_load(line, &sub->searcher->load);
 	append_fingerprint(line, sub->fingerprint);
--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -20,8 +20,8 @@
 	const forwarder_counters_t *counters = forwarder_counters(forwarder);
 
 	put(out, "requests_total", NULL, NULL, counters->requests);
-	for (int end = 0; end < FORWARD_ENDS; end++)
-		put(out, "answers_total", "outcome", forward_end_name((forward_end_t)end),
+	for (int end = 0; end < FORWARD_OUTCOMES; end++)
+		put(out, "answers_total", "outcome", forward_outcome_name((forward_outcome_t)end),
 		    counters->ends[end]);
 	put(out, "answers_partial_total", NULL, NULL, counters->partial);
 	put(out, "callers_left_total", NULL, NULL, counters->left);
@@ -31,10 +31,10 @@
 	put(out, "sub_requests_total", "purpose", "retry", counters->retries);
 	put(out, "parts_waited_total", NULL, NULL, counters->waited);
 	put(out, "parts_shed_total", NULL, NULL, counters->shed);
-	put(out, "loads_told_total", NULL, NULL, counters->loads_told);
+	put(out, "loads_told_total", NULL, NULL, counters->loads_reported);
 	put(out, "loads_malformed_total", NULL, NULL, counters->loads_malformed);
 	for (int end = 0; end <= SUB_UNKNOWN; end++)
-		put(out, "sub_replies_total", "outcome", sub_end_name((sub_end_t)end),
+		put(out, "sub_replies_total", "outcome", sub_outcome_name((sub_outcome_t)end),
 		    counters->sub_ends[end]);
 }
 
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -99,12 +99,13 @@
 	const routing_t *routing = forwarder_routing(task->forwarder);
 	const fleet_t fleet = {.vms = supply_task_vms(task->supply),
 			       .regions = task->regions,
-			       .connections = routing ? routing_gather_connections(routing) : 0};
+			       .connections =
+				       routing ? routing_min_gather_connections(routing) : 0};
 
 	task->fleet_changed = false;
 	gather_task_set_fleet(task->gathers, &fleet);
 	sharing_clear(&task->sharing);
-	sharing_take(&task->sharing, &fleet, task->vm_name, task->retry_constant);
+	sharing_update(&task->sharing, &fleet, task->vm_name, task->retry_constant);
 }
 
 static void set_shares(void *ctx)
@@ -115,7 +116,7 @@
 	gpointer pool;
 
 	loop_timer_set(task->loop, &task->shares_timer, SHARES_PERIOD_US);
-	sharing_take_members(&task->sharing, &members, task->fleet_changed, loop_now_us());
+	sharing_update_members(&task->sharing, &members, task->fleet_changed, loop_now_us());
 	if (task->fleet_changed)
 		take_fleet(task);
 	registry_set_bound(task->registry, task->retry_ratio, 0);
@@ -150,22 +151,22 @@
 	link_task_searcher_changed(task->links, searcher);
 }
 
-static void write_head(void *ctx, const sub_t *sub, GString *out)
+static void write_head(void *ctx, const subrequest_t *sub, GString *out)
 {
 	const GString *head = relay_head(sub->forward->owner);
 
 	(void)ctx;
 	g_string_append_len(out, head->str, (gssize)head->len);
-	headers_write_sub(out, sub->searcher, sub_left_us(sub, loop_now_us()));
+	headers_write_sub(out, sub->searcher, subrequest_time_left_us(sub, loop_now_us()));
 }
 
-static const GString *body_of(void *ctx, const sub_t *sub)
+static const GString *body_of(void *ctx, const subrequest_t *sub)
 {
 	(void)ctx;
 	return relay_body(sub->forward->owner);
 }
 
-static const char *id_of(void *ctx, const sub_t *sub)
+static const char *id_of(void *ctx, const subrequest_t *sub)
 {
 	const relay_t *relay = sub->forward->owner;
 
@@ -173,17 +174,17 @@
 	return relay->request.id;
 }
 
-static void on_send(void *ctx, sub_t *sub)
+static void on_send(void *ctx, subrequest_t *sub)
 {
 	link_task_send(((front_task_t *)ctx)->links, sub);
 }
 
-static void on_cancel(void *ctx, sub_t *sub)
+static void on_cancel(void *ctx, subrequest_t *sub)
 {
 	link_task_cancel(((front_task_t *)ctx)->links, sub);
 }
 
-static void on_sub_ended(void *ctx, sub_t *sub, sub_reply_t *reply)
+static void on_sub_ended(void *ctx, subrequest_t *sub, sub_reply_t *reply)
 {
 	front_task_t *task = ctx;
 
@@ -209,32 +210,32 @@
 {
 	front_task_t *task = ctx;
 
-	forwarder_room(task->forwarder, service, loop_now_us());
+	forwarder_dispatch_waiting(task->forwarder, service, loop_now_us());
 	arm_forwarder(task);
 }
 
 /* ---- what VMs of this region see of searchers ---- */
 
-static void on_sighted(void *ctx, const sighting_t *sighting)
+static void on_sighted(void *ctx, const observation_t *sighting)
 {
 	front_task_t *task = ctx;
 
-	if (sighting->type == SIGHTING_HUNG)
+	if (sighting->type == OBSERVATION_HUNG)
 		g_message("event=searcher-hangs searcher=%s after_us=%" G_GUINT64_FORMAT
 			  " outcome=avoided",
 			  sighting->searcher, sighting->after_us);
 	supply_task_tell(task->supply, sighting);
 }
 
-static void on_sighting(void *ctx, const sighting_t *sighting)
+static void on_sighting(void *ctx, const observation_t *sighting)
 {
 	front_task_t *task = ctx;
 
-	if (sighting->type == SIGHTING_HUNG)
+	if (sighting->type == OBSERVATION_HUNG)
 		g_info("event=searcher-hangs searcher=%s after_us=%" G_GUINT64_FORMAT
 		       " told_by=other-vm",
 		       sighting->searcher, sighting->after_us);
-	forwarder_take_sighting(task->forwarder, sighting, loop_now_us());
+	forwarder_take_observation(task->forwarder, sighting, loop_now_us());
 }
 
 /* ---- requests under which searchers end ---- */
@@ -291,7 +292,7 @@
 
 static void answer_vm(front_task_t *task, hop_job_t *job, const forward_answer_t *answer)
 {
-	const hop_answer_t told = {.end = answer->end,
+	const hop_answer_t told = {.end = answer->outcome,
 				   .parts = answer->parts,
 				   .missing = answer->missing,
 				   .retry_after_us = answer->retry_after_us,
@@ -305,7 +306,8 @@
 {
 	front_task_t *task = ctx;
 	relay_t *relay = forward->owner;
-	int status = answer->reply ? answer->reply->status : forward_end_status(answer->end);
+	int status =
+		answer->reply ? answer->reply->status : forward_outcome_status(answer->outcome);
 
 	front_log_answer(relay->request.id, forward, answer, status,
 			 supply_task_age_us(task->supply));
@@ -341,7 +343,7 @@
 static void refuse_behind(front_task_t *task, relay_t *relay)
 {
 	const forward_answer_t answer = {
-		.end = FORWARD_NOT_READY,
+		.outcome = FORWARD_NOT_READY,
 		.retry_after_us = retry_after_us(LACK_NEWS, relay->request.patience_us,
 						 registry_is_store_away(task->registry))};
 
@@ -377,7 +379,7 @@
 	const route_t *route;
 
 	if (task->refusing || !routing ||
-	    forwarder_blocks(task->forwarder, relay->request.fingerprint, loop_now_us()))
+	    forwarder_is_blocked(task->forwarder, relay->request.fingerprint, loop_now_us()))
 		return NULL;
 	route = routing_match(routing, relay->request.host, relay->request.target);
 	return route && route->gathers ? route : NULL;
@@ -438,7 +440,7 @@
 	g_autoptr(GString) records =
 		g_string_new_len(answer->records.data, (gssize)answer->records.bytes);
 	bool answered = answer->end == FORWARD_ANSWERED;
-	const forward_answer_t told = {.end = answer->end,
+	const forward_answer_t told = {.outcome = answer->end,
 				       .stamps = answered ? stamps : NULL,
 				       .records = answered ? records : NULL,
 				       .parts = answer->parts,
@@ -512,7 +514,7 @@
 
 	if (!relay->forward)
 		return;
-	forward_allow_more(relay->forward, more, loop_now_us());
+	forward_allow_attempts(relay->forward, more, loop_now_us());
 	arm_forwarder(task);
 }
 
@@ -670,7 +672,7 @@
 	static const forwarder_ops_t forwarder_ops = {.send = on_send,
 						      .cancel = on_cancel,
 						      .answer = on_answer,
-						      .sighted = on_sighted,
+						      .observed = on_sighted,
 						      .poison = &poison_ops};
 	static const link_task_ops_t link_ops = {.write_head = write_head,
 						 .body = body_of,
@@ -737,7 +739,7 @@
 void front_task_refuse(front_task_t *task)
 {
 	task->refusing = true;
-	forwarder_leave(task->forwarder);
+	forwarder_stop_accepting(task->forwarder);
 }
 
 void front_task_close_idle(front_task_t *task)
--- a/src/tasks/gather_task.c
+++ b/src/tasks/gather_task.c
@@ -176,7 +176,7 @@
 	const handover_terms_t terms = {.deadline_us =
 						forward_times(&relay->request, route).deadline_us,
 					.target_us = route->target_us,
-					.attempts_most = route->attempts_most};
+					.attempts_most = route->max_attempts};
 
 	if (terms.deadline_us <= now_us)
 		return false;
--- a/src/tasks/link_task.c
+++ b/src/tasks/link_task.c
@@ -20,8 +20,8 @@
 typedef struct link_conn_t {
 	struct link_t *link;
 	http_conn_t *conn;
-	sub_t *sub; /* NULL when idle */
-	char *id;   /* of the request that is out */
+	subrequest_t *sub; /* NULL when idle */
+	char *id;	   /* of the request that is out */
 	loop_timer_t connect_timer;
 	uint64_t begun_us, used_us;
 	bool opened;
@@ -107,7 +107,7 @@
 	free_if_done(link);
 }
 
-static void end_sub(link_task_t *task, sub_t *sub, sub_reply_t *reply)
+static void end_sub(link_task_t *task, subrequest_t *sub, sub_reply_t *reply)
 {
 	if (sub)
 		task->ops->ended(task->ctx, sub, reply);
@@ -131,7 +131,7 @@
 	link_conn_t *conn = ctx;
 	link_task_t *task = conn->link->task;
 	searcher_t *searcher = conn->link->searcher;
-	sub_t *sub = conn->sub;
+	subrequest_t *sub = conn->sub;
 	bool foreign = false;
 	sub_reply_t *reply = headers_read_reply(message, conn->id, &foreign);
 
@@ -199,7 +199,7 @@
 	link_t *link = conn->link;
 	link_task_t *task = link->task;
 	searcher_t *searcher = searcher_ref(link->searcher);
-	sub_t *sub = conn->sub;
+	subrequest_t *sub = conn->sub;
 	sub_reply_t *reply = sub ? reply_of_end(conn, end) : NULL;
 
 	if (reply && reply->broken)
@@ -220,7 +220,7 @@
 {
 	link_conn_t *conn = ctx;
 	link_task_t *task = conn->link->task;
-	sub_t *sub = conn->sub;
+	subrequest_t *sub = conn->sub;
 
 	task->counters.refused++;
 	http_conn_close(conn->conn);
@@ -270,7 +270,7 @@
 	return NULL;
 }
 
-static link_conn_t *pick_conn(link_t *link, sub_t *sub)
+static link_conn_t *pick_conn(link_t *link, subrequest_t *sub)
 {
 	uint64_t now_us = loop_now_us();
 	link_conn_t *conn = idle_conn(link, now_us);
@@ -281,7 +281,7 @@
 	}
 	if (conn)
 		return conn;
-	sub->connects = true;
+	sub->opens_connection = true;
 	return open_conn(link);
 }
 
@@ -292,7 +292,7 @@
 	end_sub(task, message, sub_reply_new(SUB_NOT_SENT));
 }
 
-void link_task_send(link_task_t *task, sub_t *sub)
+void link_task_send(link_task_t *task, subrequest_t *sub)
 {
 	link_t *link = link_of(task, sub->searcher);
 	const GString *body = task->ops->body(task->ctx, sub);
@@ -302,7 +302,7 @@
 	searcher_ref(sub->searcher);
 	conn = pick_conn(link, sub);
 	searcher_unref(sub->searcher);
-	sub->carrier = conn;
+	sub->connection = conn;
 	if (!conn) {
 		g_warning("event=send-failed searcher=%s reason=descriptors", sub->searcher->id);
 		loop_post(task->loop, tell_unsent, task, sub);
@@ -320,9 +320,9 @@
 		       g_str_has_prefix(task->head->str, "HEAD "));
 }
 
-void link_task_cancel(link_task_t *task, sub_t *sub)
+void link_task_cancel(link_task_t *task, subrequest_t *sub)
 {
-	link_conn_t *conn = sub->carrier;
+	link_conn_t *conn = sub->connection;
 
 	if (!conn) /* its end is on its way by message */
 		return;
@@ -350,7 +350,7 @@
 		bool last = link->conns->len == 1;
 
 		if (conn->sub) {
-			conn->sub->carrier = NULL;
+			conn->sub->connection = NULL;
 			loop_post(link->task->loop, tell_broken, link->task, conn->sub);
 		}
 		drop(conn);
--- a/src/tasks/link_task.h
+++ b/src/tasks/link_task.h
@@ -15,11 +15,11 @@
 
 typedef struct link_task_ops_t {
 	/** Write the head of @p sub's request. These three are asked once, when it is sent. */
-	void (*write_head)(void *ctx, const sub_t *sub, GString *out);
-	const GString *(*body)(void *ctx, const sub_t *sub);
-	const char *(*id)(void *ctx, const sub_t *sub);
+	void (*write_head)(void *ctx, const subrequest_t *sub, GString *out);
+	const GString *(*body)(void *ctx, const subrequest_t *sub);
+	const char *(*id)(void *ctx, const subrequest_t *sub);
 	/** Takes @p reply. */
-	void (*ended)(void *ctx, sub_t *sub, sub_reply_t *reply);
+	void (*ended)(void *ctx, subrequest_t *sub, sub_reply_t *reply);
 	/** Nobody listens at the searcher's port any more. */
 	void (*refused)(void *ctx, searcher_t *searcher);
 	/** It has accepted a connection that was begun at @p since_us. */
@@ -34,9 +34,9 @@
 
 link_task_t *link_task_new(loop_t *loop, const link_task_ops_t *ops, void *ctx);
 /** Send @p sub; its end is told later, never before the return. */
-void link_task_send(link_task_t *task, sub_t *sub);
+void link_task_send(link_task_t *task, subrequest_t *sub);
 /** Close the connection of @p sub; its end is not told. */
-void link_task_cancel(link_task_t *task, sub_t *sub);
+void link_task_cancel(link_task_t *task, subrequest_t *sub);
 /** Open a first connection, if there is none. */
 void link_task_warm(link_task_t *task, searcher_t *searcher);
 /** The searcher's state has changed: requests may wait for it, or connections idle in vain. */
--- a/src/tasks/relay.c
+++ b/src/tasks/relay.c
@@ -35,8 +35,8 @@
 					     .fingerprint = fingerprint_of(job->head, job->body),
 					     .received_us = job->received_us,
 					     .patience_us = job->patience_us,
-					     .attempts_most = 1,
-					     .again = job->again};
+					     .max_attempts = 1,
+					     .is_resend = job->again};
 	return relay;
 }
 
@@ -85,9 +85,9 @@
 void relay_answer_caller(const relay_t *relay, const forward_answer_t *answer)
 {
 	http_exchange_t *exchange = relay->exchange;
-	const char *text = forward_end_name(answer->end);
+	const char *text = forward_outcome_name(answer->outcome);
 	const GString *body = answer->records;
-	int status = forward_end_status(answer->end);
+	int status = forward_outcome_status(answer->outcome);
 
 	http_exchange_set_data(exchange, NULL);
 	if (answer->retry_after_us)
--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -119,7 +119,7 @@
 	const char *region = NULL;
 
 	reader->counters.regions_strange =
-		routing_strange_regions(routing, reader->regions, &route, &region);
+		routing_unknown_regions(routing, reader->regions, &route, &region);
 	if (reader->counters.regions_strange)
 		g_warning("event=region-unknown route=%s region=%s in_all=%u outcome=kept",
 			  route->name, region, reader->counters.regions_strange);
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -246,12 +246,12 @@
 
 static void take_sighting(supply_task_t *task, const feed_message_t *message)
 {
-	const sighting_t sighting = {.type = (sighting_type_t)message->kind,
-				     .searcher = message->name,
-				     .born_ms = g_ascii_strtoull(message->text, NULL, 10),
-				     .after_us = message->age_us};
+	const observation_t sighting = {.type = (observation_type_t)message->kind,
+					.searcher = message->name,
+					.born_ms = g_ascii_strtoull(message->text, NULL, 10),
+					.after_us = message->age_us};
 
-	if (message->kind >= SIGHTING_TYPES) {
+	if (message->kind >= OBSERVATION_TYPES) {
 		g_info("event=sighting-ignored type=%u reason=unknown", message->kind);
 		return;
 	}
@@ -275,7 +275,7 @@
 	g_byte_array_set_size(task->sightings, 0);
 }
 
-void supply_task_tell(supply_task_t *task, const sighting_t *sighting)
+void supply_task_tell(supply_task_t *task, const observation_t *sighting)
 {
 	char born[24];
 	const feed_message_t message = {.type = FEED_SIGHTING,
--- a/src/tasks/supply_task.h
+++ b/src/tasks/supply_task.h
@@ -29,7 +29,7 @@
 	 * hears it itself, and so does before those that are fed */
 	void (*restored)(void *ctx, bool watches);
 	/** Another VM of this region has seen this of a searcher. */
-	void (*sighting)(void *ctx, const sighting_t *sighting);
+	void (*sighting)(void *ctx, const observation_t *sighting);
 	/** The number of VMs may have changed. */
 	void (*members)(void *ctx);
 } supply_ops_t;
@@ -42,7 +42,7 @@
 /** Another VM knows a later configuration: read it now. */
 void supply_task_read_configuration(supply_task_t *task);
 /** Tell the VMs of this region, soon, if they are so many that it is of use. */
-void supply_task_tell(supply_task_t *task, const sighting_t *sighting);
+void supply_task_tell(supply_task_t *task, const observation_t *sighting);
 /** VMs registered, vm_t; empty until the first list. */
 const GPtrArray *supply_task_vms(const supply_task_t *task);
 /** What is known of the VMs with whom cold searchers are shared; borrows. */
--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -195,7 +195,7 @@
 	taken_t taken;
 
 	g_ptr_array_add(pool->searchers, searcher);
-	sharing_take(&sharing, &site->fleet, vm->name, CONSTANT);
+	sharing_update(&sharing, &site->fleet, vm->name, CONSTANT);
 	taken.warms = sharing_apply(&sharing, pool, routing);
 	taken.connections = searcher->connections_most;
 	taken.constant = pool->bound.constant;
@@ -218,13 +218,13 @@
 /* A gather over one shard, and a service that is asked alone. */
 static routing_t *routing_of_two(void)
 {
-	const service_terms_t terms = {.connections = SEARCHER_CONNECTIONS};
+	const service_limits_t terms = {.connections = SEARCHER_CONNECTIONS};
 	routing_t *routing = routing_new(1);
 
 	route_add_target(add_route(routing, "gather", true), "shard", 1);
 	route_add_target(add_route(routing, "single", false), "alone", 1);
-	routing_set_terms(routing, "shard", &terms);
-	routing_set_terms(routing, "alone", &terms);
+	routing_set_service_limits(routing, "shard", &terms);
+	routing_set_service_limits(routing, "alone", &terms);
 	routing_seal(routing);
 	return routing;
 }
@@ -358,7 +358,7 @@
 
 /* All that had registered by @p as_of_us. */
 static void press_list(const GPtrArray *vms, const presser_t *all, presser_t *one,
-		       const cold_bound_t *bound, uint64_t as_of_us, uint64_t now_us)
+		       const cold_limit_t *bound, uint64_t as_of_us, uint64_t now_us)
 {
 	static const char *const ids[COLD_SEARCHERS] = {"s-1", "s-2", "s-3"};
 
@@ -374,7 +374,7 @@
 }
 
 /* Sends whatever it may, to each searcher; the sendings are counted in @p sent. */
-static void press(presser_t *one, const cold_bound_t *bound, uint64_t now_us, GArray **sent)
+static void press(presser_t *one, const cold_limit_t *bound, uint64_t now_us, GArray **sent)
 {
 	if (!cold_share_is_trusted(&one->members, now_us))
 		return;
@@ -401,7 +401,7 @@
 
 static void play_pressers(guint count, double per_s, uint32_t seed, uint32_t *most, uint32_t *sum)
 {
-	const cold_bound_t bound = {.per_s = per_s, .gathered = seed % 2 == 0};
+	const cold_limit_t bound = {.per_s = per_s, .gathered = seed % 2 == 0};
 	g_autoptr(GPtrArray) vms = g_ptr_array_new_with_free_func(vm_free);
 	presser_t *all = g_new0(presser_t, count);
 	GArray *sent[COLD_SEARCHERS];
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -55,7 +55,7 @@
 	forwarder_t *forwarder;
 	routing_t *routing;   /* being put together */
 	GHashTable *forwards; /* id to forward_t */
-	GPtrArray *subs;      /* sub_t that are out */
+	GPtrArray *subs;      /* subrequest_t that are out */
 	GHashTable *regions;
 	uint64_t changes; /* of entries in the store, so far */
 	bool quiet;	  /* `many` prints nothing */
@@ -78,7 +78,7 @@
 	va_end(args);
 }
 
-static void on_send(void *ctx, sub_t *sub)
+static void on_send(void *ctx, subrequest_t *sub)
 {
 
 	play_t *play = ctx;
@@ -87,10 +87,10 @@
 	sub->searcher->connections++;
 	say(play, "send %s part=%u %s to=%s left_ms=%" G_GUINT64_FORMAT, sub->forward->request.id,
 	    sub->part, sub_purpose_name(sub->purpose), sub->searcher->id,
-	    sub_left_us(sub, play->now_us) / 1000);
+	    subrequest_time_left_us(sub, play->now_us) / 1000);
 }
 
-static void on_cancel(void *ctx, sub_t *sub)
+static void on_cancel(void *ctx, subrequest_t *sub)
 {
 	play_t *play = ctx;
 
@@ -112,17 +112,18 @@
 	if (answer->retry_after_us)
 		g_string_append_printf(text, " back_in_ms=%" G_GUINT64_FORMAT,
 				       answer->retry_after_us / 1000);
-	say(play, "reply %s %s%s", forward->request.id, forward_end_name(answer->end), text->str);
+	say(play, "reply %s %s%s", forward->request.id, forward_outcome_name(answer->outcome),
+	    text->str);
 	g_hash_table_remove(play->forwards, forward->request.id);
 }
 
-static void on_sighted(void *ctx, const sighting_t *sighting)
+static void on_sighted(void *ctx, const observation_t *sighting)
 {
 	play_t *play = ctx;
 
 	if (play->tells)
 		say(play, "tell %s %s after_ms=%" G_GUINT64_FORMAT,
-		    sighting_type_name(sighting->type), sighting->searcher,
+		    observation_type_name(sighting->type), sighting->searcher,
 		    sighting->after_us / 1000);
 }
 
@@ -180,7 +181,7 @@
 	if (play->forwarder && searcher->state == SEARCHER_ENDED)
 		forwarder_searcher_ended(play->forwarder, searcher, play->now_us);
 	if (play->forwarder)
-		forwarder_room(play->forwarder, searcher->service, play->now_us);
+		forwarder_dispatch_waiting(play->forwarder, searcher->service, play->now_us);
 }
 
 static void *play_new(GString *out)
@@ -195,7 +196,7 @@
 	static const forwarder_ops_t ops = {.send = on_send,
 					    .cancel = on_cancel,
 					    .answer = on_answer,
-					    .sighted = on_sighted,
+					    .observed = on_sighted,
 					    .poison = &poison_ops};
 	play_t *play = g_new0(play_t, 1);
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = BOUND_WINDOW_US, .constant = 2};
@@ -259,13 +260,13 @@
 	else if (g_str_has_prefix(word, "target_ms="))
 		route->target_us = (uint64_t)value * 1000;
 	else if (g_str_has_prefix(word, "attempts="))
-		route->attempts_most = (uint32_t)value;
+		route->max_attempts = (uint32_t)value;
 	else if (g_str_has_prefix(word, "rank="))
 		route->rank = (uint32_t)value;
 	else if (g_str_has_prefix(word, "top="))
 		route->top = (uint32_t)value;
 	else if (g_str_has_prefix(word, "least="))
-		route->coverage_least = value;
+		route->min_coverage = value;
 }
 
 static void do_route(void *ctx, char **words)
@@ -281,7 +282,7 @@
 	route->prefix = g_strdup(words[3]);
 	route->gathers = g_str_equal(words[4], "gather");
 	route->idempotent = g_str_equal(words[5], "idempotent");
-	route->attempts_most = 1;
+	route->max_attempts = 1;
 	for (char **word = words + 6; *word; word++) {
 		char *star = strchr(*word, '*');
 
@@ -367,10 +368,10 @@
 static void do_bears(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	const service_terms_t terms = {.cold_per_s = g_ascii_strtod(words[2], NULL),
-				       .cold_us = strtoull(words[3], NULL, 10) * 1000};
+	const service_limits_t terms = {.cold_per_s = g_ascii_strtod(words[2], NULL),
+					.cold_us = strtoull(words[3], NULL, 10) * 1000};
 
-	routing_set_terms(play->routing, words[1], &terms);
+	routing_set_service_limits(play->routing, words[1], &terms);
 }
 
 static void do_cold(void *ctx, char **words)
@@ -438,7 +439,7 @@
 	searcher_t *searcher = registry_find(play->registry, words[1]);
 
 	searcher->connections_most = (uint32_t)atoi(words[2]);
-	forwarder_room(play->forwarder, searcher->service, play->now_us);
+	forwarder_dispatch_waiting(play->forwarder, searcher->service, play->now_us);
 }
 
 static void do_constant(void *ctx, char **words)
@@ -456,13 +457,13 @@
 static void do_told(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	sighting_t sighting = {.searcher = words[2],
-			       .after_us = strtoull(words[3], NULL, 10) * 1000,
-			       .born_ms = words[4] ? strtoull(words[4], NULL, 10) : 0};
+	observation_t sighting = {.searcher = words[2],
+				  .after_us = strtoull(words[3], NULL, 10) * 1000,
+				  .born_ms = words[4] ? strtoull(words[4], NULL, 10) : 0};
 
-	while (!g_str_equal(sighting_type_name(sighting.type), words[1]))
+	while (!g_str_equal(observation_type_name(sighting.type), words[1]))
 		sighting.type++;
-	forwarder_take_sighting(play->forwarder, &sighting, play->now_us);
+	forwarder_take_observation(play->forwarder, &sighting, play->now_us);
 }
 
 static void do_tell(void *ctx, char **words)
@@ -521,10 +522,10 @@
 	pass_to(play, 1000000000 + strtoull(words[1], NULL, 10) * 1000);
 }
 
-static sub_t *find_sub(play_t *play, const char *searcher, const char *id)
+static subrequest_t *find_sub(play_t *play, const char *searcher, const char *id)
 {
 	for (guint i = 0; i < play->subs->len; i++) {
-		sub_t *sub = g_ptr_array_index(play->subs, i);
+		subrequest_t *sub = g_ptr_array_index(play->subs, i);
 		bool same = sub->forward ? g_str_equal(sub->forward->request.id, id)
 					 : g_str_equal(id, "-");
 
@@ -534,7 +535,7 @@
 	return NULL;
 }
 
-static void end_sub(play_t *play, sub_t *sub, sub_end_t end, const char *body)
+static void end_sub(play_t *play, subrequest_t *sub, sub_outcome_t end, const char *body)
 {
 	sub_reply_t *reply = sub_reply_new(end);
 
@@ -551,9 +552,9 @@
 	play_t *play = ctx;
 	static const char *const names[] = {"answer",	"fail",	  "refuse",
 					    "replaced", "unsent", "cut"};
-	static const sub_end_t ends[] = {SUB_ANSWERED, SUB_FAILED,   SUB_NOT_RUN,
-					 SUB_REPLACED, SUB_NOT_SENT, SUB_UNKNOWN};
-	sub_t *sub = find_sub(play, words[1], words[2]);
+	static const sub_outcome_t ends[] = {SUB_ANSWERED, SUB_FAILED,	 SUB_NOT_RUN,
+					     SUB_REPLACED, SUB_NOT_SENT, SUB_UNKNOWN};
+	subrequest_t *sub = find_sub(play, words[1], words[2]);
 
 	if (!sub) {
 		say(play, "nothing is out to %s for %s", words[1], words[2]);
@@ -567,7 +568,7 @@
 static void do_breaks(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	sub_t *sub = find_sub(play, words[1], words[2]);
+	subrequest_t *sub = find_sub(play, words[1], words[2]);
 	sub_reply_t *reply;
 
 	if (!sub) {
--- a/tests/front_matrix_test.c
+++ b/tests/front_matrix_test.c
@@ -100,7 +100,7 @@
 
 static void vm_leaves(scene_t *scene)
 {
-	forwarder_leave(scene->world->forwarder);
+	forwarder_stop_accepting(scene->world->forwarder);
 }
 
 static void vm_stands_still(scene_t *scene)
@@ -110,10 +110,11 @@
 
 static void told_hung(scene_t *scene)
 {
-	const sighting_t sighting = {
-		.type = SIGHTING_HUNG, .searcher = fake_of(scene, "near")->id, .after_us = 300000};
+	const observation_t sighting = {.type = OBSERVATION_HUNG,
+					.searcher = fake_of(scene, "near")->id,
+					.after_us = 300000};
 
-	forwarder_take_sighting(scene->world->forwarder, &sighting, scene->world->now_us);
+	forwarder_take_observation(scene->world->forwarder, &sighting, scene->world->now_us);
 }
 
 static void budget_gone(scene_t *scene)
--- a/tests/front_random_test.c
+++ b/tests/front_random_test.c
@@ -81,12 +81,12 @@
 
 static void any_sighting(front_world_t *world)
 {
-	const sighting_t sighting = {
-		.type = (sighting_type_t)g_rand_int_range(world->rand, 0, SIGHTING_TYPES),
+	const observation_t sighting = {
+		.type = (observation_type_t)g_rand_int_range(world->rand, 0, OBSERVATION_TYPES),
 		.searcher = any_fake(world)->id,
 		.after_us = (uint64_t)g_rand_int_range(world->rand, 1, 500000)};
 
-	forwarder_take_sighting(world->forwarder, &sighting, world->now_us);
+	forwarder_take_observation(world->forwarder, &sighting, world->now_us);
 }
 
 static void any_restarts(front_world_t *world)
--- a/tests/front_world.c
+++ b/tests/front_world.c
@@ -27,12 +27,12 @@
 
 /* A sub-request at a searcher, or on its way back. */
 typedef struct pending_t {
-	sub_t *sub;
+	subrequest_t *sub;
 	fake_t *fake;
 	char *request;
 	crasher_t *crasher; /* NULL: its request does no harm */
 	uint64_t due_us;
-	sub_end_t end;
+	sub_outcome_t end;
 	bool broken;
 } pending_t;
 
@@ -97,7 +97,7 @@
 
 		if (!g_str_equal(played->id, request))
 			continue;
-		if (runs > played->route->attempts_most)
+		if (runs > played->route->max_attempts)
 			wrong(world, "%s ran %u times at %s", request, runs, service);
 		if (played->said_not_run)
 			wrong(world, "%s ran after it was said that it had not", request);
@@ -186,7 +186,7 @@
 
 static void set_end(const front_world_t *world, pending_t *pending, behaviour_t behaviour)
 {
-	static const sub_end_t ends[BEHAVIOURS] = {
+	static const sub_outcome_t ends[BEHAVIOURS] = {
 		[SERVES] = SUB_ANSWERED, [SLOW] = SUB_ANSWERED,	   [HANGS] = SUB_UNKNOWN,
 		[FAILS] = SUB_FAILED,	 [REFUSES] = SUB_NOT_RUN,  [CUTS] = SUB_UNKNOWN,
 		[LOST] = SUB_NOT_SENT,	 [REPLACED] = SUB_REPLACED};
@@ -216,7 +216,7 @@
 }
 
 /* Where it may go at all. */
-static void check_place(front_world_t *world, const sub_t *sub, const fake_t *fake)
+static void check_place(front_world_t *world, const subrequest_t *sub, const fake_t *fake)
 {
 	const char *request = sub->forward->request.id;
 
@@ -226,7 +226,7 @@
 		wrong(world, "%s is sent to %s, which is evacuated", request, fake->id);
 }
 
-static void on_send(void *ctx, sub_t *sub)
+static void on_send(void *ctx, subrequest_t *sub)
 {
 	front_world_t *world = ctx;
 	pending_t *pending = g_new0(pending_t, 1);
@@ -259,7 +259,7 @@
 	world->sent++;
 }
 
-static void on_cancel(void *ctx, sub_t *sub)
+static void on_cancel(void *ctx, subrequest_t *sub)
 {
 	front_world_t *world = ctx;
 
@@ -285,7 +285,7 @@
 static void reply(front_world_t *world, pending_t *pending)
 {
 	sub_reply_t *sub_reply = sub_reply_new(pending->end);
-	sub_t *sub = pending->sub;
+	subrequest_t *sub = pending->sub;
 	searcher_t *searcher = searcher_ref(sub->searcher);
 	bool shows = pending->broken || pending->end == SUB_NOT_SENT;
 	behaviour_t behaviour = pending->fake->behaviour;
@@ -330,11 +330,11 @@
 	return false;
 }
 
-static bool says_not_run(forward_end_t end)
+static bool says_not_run(forward_outcome_t end)
 {
-	return end == FORWARD_NOT_READY || end == FORWARD_NO_SEARCHER || end == FORWARD_LEAVING ||
-	       end == FORWARD_TOO_LATE || end == FORWARD_FULL || end == FORWARD_REJECTED ||
-	       end == FORWARD_BLOCKED || end == FORWARD_DEFERRED;
+	return end == FORWARD_NOT_READY || end == FORWARD_NO_SEARCHER ||
+	       end == FORWARD_SHUTTING_DOWN || end == FORWARD_TOO_LATE || end == FORWARD_FULL ||
+	       end == FORWARD_REJECTED || end == FORWARD_BLOCKED || end == FORWARD_DEFERRED;
 }
 
 static void check_stamps(front_world_t *world, const played_t *played,
@@ -346,7 +346,7 @@
 	if (count + answer->missing != answer->parts)
 		wrong(world, "%s: %u parts and %u missing of %u", played->id, count,
 		      answer->missing, answer->parts);
-	if (count < played->route->coverage_least * answer->parts - 1e-9)
+	if (count < played->route->min_coverage * answer->parts - 1e-9)
 		wrong(world, "%s: %u of %u parts pass for a success", played->id, count,
 		      answer->parts);
 	if (answer->records->len != (gsize)count * RECORD_BYTES)
@@ -363,8 +363,8 @@
 
 static void tell_outcome(played_t *played, const forward_answer_t *answer)
 {
-	if (answer->end != FORWARD_ANSWERED)
-		g_string_assign(played->outcome, forward_end_name(answer->end));
+	if (answer->outcome != FORWARD_ANSWERED)
+		g_string_assign(played->outcome, forward_outcome_name(answer->outcome));
 	else if (answer->reply && answer->reply->status != 200)
 		g_string_assign(played->outcome, "the searcher's failure");
 	else if (answer->missing)
@@ -375,7 +375,7 @@
 }
 
 /* One that harms nobody must not be put off for as long as it is asked for. */
-static void check_deferred(front_world_t *world, const played_t *played, forward_end_t end)
+static void check_deferred(front_world_t *world, const played_t *played, forward_outcome_t end)
 {
 	const uint64_t *first_us = g_hash_table_lookup(world->deferred, &played->fingerprint);
 
@@ -406,9 +406,9 @@
 	tell_outcome(played, answer);
 	if (answer->stamps)
 		check_stamps(world, played, answer);
-	check_deferred(world, played, answer->end);
-	played->said_not_run = says_not_run(answer->end);
-	if (answer->end == FORWARD_BLOCKED && !played->crasher)
+	check_deferred(world, played, answer->outcome);
+	played->said_not_run = says_not_run(answer->outcome);
+	if (answer->outcome == FORWARD_BLOCKED && !played->crasher)
 		wrong(world, "%s is refused, and crashes nobody", played->id);
 	if (played->said_not_run && was_run(world, played->id))
 		wrong(world, "%s was said not to have run, and had", played->id);
@@ -667,7 +667,7 @@
 	front_world_t *world = ctx;
 
 	if (world->forwarder)
-		forwarder_room(world->forwarder, searcher->service, world->now_us);
+		forwarder_dispatch_waiting(world->forwarder, searcher->service, world->now_us);
 }
 
 /* ---- set-up ---- */
@@ -680,7 +680,7 @@
 	route->host = g_strdup("h");
 	route->prefix = g_strdup_printf("/%s/", name);
 	route->idempotent = true;
-	route->attempts_most = 2;
+	route->max_attempts = 2;
 	route->timeout_us = 700000;
 	route->target_us = 150000;
 	return route;
@@ -694,7 +694,7 @@
 	route_add_region(home, "one");
 	kept->gathers = true;
 	kept->top = 8;
-	kept->coverage_least = 0.6;
+	kept->min_coverage = 0.6;
 	route_add_target(kept, "a", 1);
 	route_add_target(kept, "b", 1);
 	route_add_region(kept, "one");
@@ -708,7 +708,7 @@
 
 	find->gathers = true;
 	find->top = 8;
-	find->coverage_least = 0.6;
+	find->min_coverage = 0.6;
 	route_add_target(find, "a", 1);
 	route_add_target(find, "b", 1);
 	if (world->version == 1)
@@ -716,7 +716,7 @@
 	route_add_target(add_route(routing, "get"), "s", 1);
 	add_home_routes(routing);
 	act->idempotent = false;
-	act->attempts_most = 1;
+	act->max_attempts = 1;
 	route_add_target(act, "s", 1);
 	routing_seal(routing);
 	forwarder_set_routing(world->forwarder, routing);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -23,7 +23,7 @@
 {
 	(void)ctx;
 	hop_reason_name(message->reason);
-	forward_end_status(message->answer.end);
+	forward_outcome_status(message->answer.end);
 }
 
 static void fuzz_hop(const uint8_t *data, size_t bytes)
@@ -149,7 +149,7 @@
 {
 	(void)ctx;
 	hop_reason_name(message->reason);
-	forward_end_status(message->answer.end);
+	forward_outcome_status(message->answer.end);
 }
 
 static void fuzz_hop(const uint8_t *data, size_t bytes)
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -76,7 +76,7 @@
 	play_t *play = ctx;
 
 	g_string_append_printf(play->out, "> answer %s %s retry_after_ms=%d\n",
-			       (char *)handover->owner, forward_end_name(answer->end),
+			       (char *)handover->owner, forward_outcome_name(answer->end),
 			       (int)(answer->retry_after_us / 1000));
 	g_hash_table_remove(play->open, handover->owner);
 }
@@ -221,10 +221,11 @@
 {
 	hop_message_t message = {.type = HOP_ANSWER};
 
-	for (int end = 0; end < FORWARD_ENDS; end++)
-		if (g_str_equal(forward_end_name((forward_end_t)end), words[3]))
-			message.answer.end = (forward_end_t)end;
-	message.answer.retry_after_us = forward_end_status(message.answer.end) == 503 ? 100000 : 0;
+	for (int end = 0; end < FORWARD_OUTCOMES; end++)
+		if (g_str_equal(forward_outcome_name((forward_outcome_t)end), words[3]))
+			message.answer.end = (forward_outcome_t)end;
+	message.answer.retry_after_us =
+		forward_outcome_status(message.answer.end) == 503 ? 100000 : 0;
 	hear(ctx, words[1], words[2], message);
 }
 
--- a/tests/load_world.c
+++ b/tests/load_world.c
@@ -90,10 +90,10 @@
 	load_world_t *world;
 	vm_sim_t *vm;
 	server_t *server;
-	sub_t *sub; /* NULL once it was cancelled */
+	subrequest_t *sub; /* NULL once it was cancelled */
 	uint32_t work_us;
 	uint64_t deadline_us, queued_us;
-	sub_end_t end;
+	sub_outcome_t end;
 	bool connects;
 	bool mute; /* no answer comes: the VM gives it up, and with it the connection */
 } job_t;
@@ -162,7 +162,7 @@
 static void arrive_back(void *ctx, uint64_t now_us)
 {
 	job_t *job = ctx;
-	sub_t *sub = job->sub;
+	subrequest_t *sub = job->sub;
 
 	if (sub) {
 		sub_reply_t *reply = sub_reply_new(job->end);
@@ -181,7 +181,7 @@
 	g_free(job);
 }
 
-static void send_back(job_t *job, sub_end_t end)
+static void send_back(job_t *job, sub_outcome_t end)
 {
 	job->end = end;
 	after(job->world, &job->timer, way_us(job), arrive_back, job);
@@ -196,7 +196,7 @@
 	server_t *server = job->server;
 	bool faulty =
 		server->faulty && fault_is_on(world) && uniform(world) < world->plan->fault_odds;
-	sub_end_t end = SUB_ANSWERED;
+	sub_outcome_t end = SUB_ANSWERED;
 
 	server->busy--;
 	if (faulty && world->plan->fault == LOAD_ERRORS)
@@ -272,7 +272,7 @@
 /* The VMs as each has them in its list, for so long that all count. */
 static uint32_t share_of(const vm_sim_t *vm, const server_t *server)
 {
-	static const cold_bound_t bound = {.per_s = COLD_PER_S, .gathered = true};
+	static const cold_limit_t bound = {.per_s = COLD_PER_S, .gathered = true};
 	g_autoptr(GPtrArray) vms = g_ptr_array_new_with_free_func(vm_free);
 	cold_members_t members = {.vms = vms};
 
@@ -380,7 +380,7 @@
 	return count;
 }
 
-static void count_arrival(load_world_t *world, const sub_t *sub)
+static void count_arrival(load_world_t *world, const subrequest_t *sub)
 {
 	g_autofree char *key = g_strdup_printf("%s %u", sub->forward->request.id, sub->part);
 	uint64_t from_us = world->now_us - WINDOW_US;
@@ -397,11 +397,12 @@
 }
 
 /* A revision without it tells searchers what is left of the caller's time. */
-__attribute__((weak)) uint64_t sub_left_us(const sub_t *sub, uint64_t now_us);
+__attribute__((weak)) uint64_t subrequest_time_left_us(const subrequest_t *sub, uint64_t now_us);
 
-static uint64_t told_us(const sub_t *sub, uint64_t now_us)
+static uint64_t told_us(const subrequest_t *sub, uint64_t now_us)
 {
-	return sub_left_us ? sub_left_us(sub, now_us) : forward_left_us(sub->forward, now_us);
+	return subrequest_time_left_us ? subrequest_time_left_us(sub, now_us)
+				       : forward_time_left_us(sub->forward, now_us);
 }
 
 static uint32_t draw_work_us(load_world_t *world, uint32_t mean_us)
@@ -411,7 +412,7 @@
 	return (uint32_t)(mean_us * MAX(factor, 0.1) * (uniform(world) < 0.01 ? 5 : 1));
 }
 
-static void on_send(void *ctx, sub_t *sub)
+static void on_send(void *ctx, subrequest_t *sub)
 {
 	vm_sim_t *vm = ctx;
 	load_world_t *world = vm->world;
@@ -432,16 +433,16 @@
 	} else {
 		sub->searcher->idle--;
 	}
-	sub->carrier = job;
+	sub->connection = job;
 	if (!job->server->down_until_us) /* else nobody listens, and nothing arrives */
 		count_arrival(world, sub);
 	after(world, &job->timer, way_us(job) * (job->connects ? 3 : 1), arrive_at_server, job);
 }
 
 /* The connection is closed; what is in the queue there is dropped, what is at work runs on. */
-static void on_cancel(void *ctx, sub_t *sub)
+static void on_cancel(void *ctx, subrequest_t *sub)
 {
-	job_t *job = sub->carrier;
+	job_t *job = sub->connection;
 
 	(void)ctx;
 	job->sub = NULL;
@@ -483,7 +484,7 @@
 		return;
 	route->asked++;
 	histogram_add(&route->took, took_us);
-	if (answer->end != FORWARD_ANSWERED) {
+	if (answer->outcome != FORWARD_ANSWERED) {
 		route->refused += answer->retry_after_us > 0;
 		route->failed += answer->retry_after_us == 0;
 		return;
@@ -498,7 +499,7 @@
 	caller_t *caller = forward->owner;
 
 	(void)ctx;
-	if (answer->end != FORWARD_ANSWERED && comes_back(caller, answer->retry_after_us))
+	if (answer->outcome != FORWARD_ANSWERED && comes_back(caller, answer->retry_after_us))
 		return;
 	count_answer(caller, answer);
 	g_free(caller);
@@ -607,10 +608,10 @@
 	route->gathers = gathers;
 	route->idempotent = true;
 	route->rank = index + 1;
-	route->attempts_most = gathers ? 2 : 1;
+	route->max_attempts = gathers ? 2 : 1;
 	route->timeout_us = gathers ? plan->patience_us : 0;
 	route->target_us = plan->target_us;
-	route->coverage_least = plan->least;
+	route->min_coverage = plan->least;
 	route->top = 5;
 	for (uint32_t i = 0; i < shards; i++) {
 		g_autofree char *service = g_strdup_printf("s%u", i);
@@ -659,7 +660,7 @@
 
 	g_hash_table_iter_init(&iter, registry_pools(registry));
 	while (g_hash_table_iter_next(&iter, NULL, &pool))
-		((pool_t *)pool)->cold = (cold_bound_t){.per_s = COLD_PER_S, .gathered = true};
+		((pool_t *)pool)->cold = (cold_limit_t){.per_s = COLD_PER_S, .gathered = true};
 }
 
 static void start_vm(load_world_t *world, uint32_t index, uint32_t vms, uint32_t connections)
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -55,7 +55,7 @@
 typedef struct reply_case_t {
 	const char *what;
 	const char *text;
-	sub_end_t end;
+	sub_outcome_t end;
 	bool foreign;
 } reply_case_t;
 
@@ -64,7 +64,7 @@
 typedef struct load_case_t {
 	const char *text;
 	bool told;
-	told_load_t load;
+	reported_load_t load;
 } load_case_t;
 
 static const load_case_t loads[] = {
@@ -96,10 +96,10 @@
 		bool foreign = false;
 		sub_reply_t *reply = headers_read_reply(message, "id", &foreign);
 
-		assert_int_equal(reply->end, SUB_ANSWERED);
-		assert_int_equal(reply->load_told, loads[i].told);
+		assert_int_equal(reply->outcome, SUB_ANSWERED);
+		assert_int_equal(reply->load_reported, loads[i].told);
 		assert_int_equal(reply->load_malformed, !loads[i].told);
-		assert_memory_equal(&reply->load, &loads[i].load, sizeof(told_load_t));
+		assert_memory_equal(&reply->load, &loads[i].load, sizeof(reported_load_t));
 		sub_reply_free(reply);
 		http_message_free(message);
 	}
@@ -133,8 +133,8 @@
 		bool foreign;
 		sub_reply_t *reply = headers_read_reply(message, "id", &foreign);
 
-		if (reply->end != replies[i].end || foreign != replies[i].foreign)
-			fail_msg("%s: %s", replies[i].what, sub_end_name(reply->end));
+		if (reply->outcome != replies[i].end || foreign != replies[i].foreign)
+			fail_msg("%s: %s", replies[i].what, sub_outcome_name(reply->outcome));
 		sub_reply_free(reply);
 		http_message_free(message);
 	}
@@ -167,10 +167,10 @@
 	assert_non_null(routing);
 	assert_int_equal(routing->version, 7);
 	assert_int_equal(routing->limits.idle_us, 4000);
-	assert_int_equal(routing_terms(routing, "s1").connections, 25);
-	assert_int_equal(routing_terms(routing, "s1").cold_us, 3500000);
-	assert_true(routing_terms(routing, "s1").cold_per_s == 0.5);
-	assert_int_equal(routing_terms(routing, "s2").connections, 0);
+	assert_int_equal(routing_service_limits(routing, "s1").connections, 25);
+	assert_int_equal(routing_service_limits(routing, "s1").cold_us, 3500000);
+	assert_true(routing_service_limits(routing, "s1").cold_per_s == 0.5);
+	assert_int_equal(routing_service_limits(routing, "s2").connections, 0);
 	route = routing_match(routing, "H.example:80", "/a/b/c?x=/a/");
 	assert_string_equal(route->name, "g");
 	assert_true(route->gathers && route->idempotent);
@@ -225,11 +225,11 @@
 
 	(void)state;
 	g_hash_table_insert(regions, "hall", "south");
-	assert_int_equal(routing_strange_regions(routing, regions, &route, &region), 1);
+	assert_int_equal(routing_unknown_regions(routing, regions, &route, &region), 1);
 	assert_string_equal(route->name, "o");
 	assert_string_equal(region, "east");
 	g_hash_table_insert(regions, "other", "east");
-	assert_int_equal(routing_strange_regions(routing, regions, &route, &region), 0);
+	assert_int_equal(routing_unknown_regions(routing, regions, &route, &region), 0);
 	g_hash_table_unref(regions);
 	routing_unref(routing);
 	json_decref(json);
--- a/tests/world.c
+++ b/tests/world.c
@@ -32,7 +32,7 @@
 } event_t;
 
 /** A sub-request on its way. */
-typedef struct sub_t {
+typedef struct subrequest_t {
 	gint refs;
 	vm_t *vm;
 	uint32_t incarnation;
@@ -45,7 +45,7 @@
 	uint64_t expires_us, sent_us;
 	bool fresh, cancelled, ended;
 	reply_t *reply;
-} sub_t;
+} subrequest_t;
 
 typedef struct object_t {
 	uint64_t version;
@@ -220,7 +220,7 @@
 	return report;
 }
 
-static sub_t *sub_ref(sub_t *sub)
+static subrequest_t *sub_ref(subrequest_t *sub)
 {
 	sub->refs++;
 	return sub;
@@ -228,7 +228,7 @@
 
 static void sub_unref(void *data)
 {
-	sub_t *sub = data;
+	subrequest_t *sub = data;
 
 	if (--sub->refs)
 		return;
@@ -244,7 +244,7 @@
 	return GSIZE_TO_POINTER(attempt_id * WORLD_VMS_MAX + vm->index);
 }
 
-static void give_reply(world_t *world, sub_t *sub)
+static void give_reply(world_t *world, subrequest_t *sub)
 {
 	vm_t *vm = sub->vm;
 
@@ -271,7 +271,7 @@
 	give_reply(world, data);
 }
 
-static void send_reply(world_t *world, sub_t *sub, reply_kind_t kind)
+static void send_reply(world_t *world, subrequest_t *sub, reply_kind_t kind)
 {
 	sub->reply = reply_new(kind);
 	if (kind != REPLY_NOT_SENT && kind != REPLY_CUT)
@@ -280,7 +280,7 @@
 }
 
 /* Each partition holds one record, "p<number>", so that records show what was really answered. */
-static void fill_answer(const world_t *world, sub_t *sub)
+static void fill_answer(const world_t *world, subrequest_t *sub)
 {
 	const replica_t *replica = sub->replica;
 	uint32_t per = per_group_at(replica, sub->version);
@@ -309,7 +309,7 @@
 
 static void event_served(world_t *world, void *data)
 {
-	sub_t *sub = data;
+	subrequest_t *sub = data;
 	replica_t *replica = sub->replica;
 
 	if (replica->dead) {
@@ -337,7 +337,7 @@
 	return (uint64_t)work;
 }
 
-static void serve(world_t *world, sub_t *sub)
+static void serve(world_t *world, subrequest_t *sub)
 {
 	replica_t *replica = sub->replica;
 	uint64_t *slot = &replica->busy_until_us[0], start_us;
@@ -363,7 +363,7 @@
 
 /* A health page that lies hides it from those who have not asked; an answer hides it from nobody.
  */
-static void check_leaving(world_t *world, const sub_t *sub)
+static void check_leaving(world_t *world, const subrequest_t *sub)
 {
 	const replica_t *replica = sub->replica;
 	uint64_t told_us = replica->told_us[sub->vm->index];
@@ -379,7 +379,7 @@
 
 static void event_arrive(world_t *world, void *data)
 {
-	sub_t *sub = data;
+	subrequest_t *sub = data;
 	replica_t *replica = sub->replica;
 
 	if (replica->dead) {
@@ -405,11 +405,11 @@
 	world_t *world = vm->world;
 	const query_t *query = attempt->query;
 	const part_t *part = g_ptr_array_index(query->parts, attempt->part);
-	sub_t *sub;
+	subrequest_t *sub;
 
 	if (vm->dead)
 		return;
-	sub = g_new0(sub_t, 1);
+	sub = g_new0(subrequest_t, 1);
 	sub->refs = 1;
 	sub->vm = vm;
 	sub->incarnation = vm->incarnation;
@@ -434,7 +434,7 @@
 static void do_cancel(void *ctx, const attempt_t *attempt)
 {
 	vm_t *vm = ctx;
-	sub_t *sub = g_hash_table_lookup(vm->world->subs, sub_key(vm, attempt->id));
+	subrequest_t *sub = g_hash_table_lookup(vm->world->subs, sub_key(vm, attempt->id));
 
 	if (!sub)
 		return;
@@ -908,7 +908,7 @@
 void world_thaw(world_t *world, uint32_t index)
 {
 	vm_t *vm = &world->vms[index];
-	sub_t *sub;
+	subrequest_t *sub;
 
 	vm->frozen = false;
 	vm->thawed_us = world->now_us;
