--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -1,17 +1,18 @@
 /**
  * @file forward.c
- * One request on its way to its answer. See forward.h.
+ * Carries one request to its answer. See forward.h.
  */
 #include "core/forward_private.h"
 
 #include "core/retry_after.h"
 #include "core/top_records.h"
 
-/* An answered request's other sub-requests end by themselves in most cases, which keeps the
- * connection: a pause is over after 200 ms. */
+/* After the answer, the request's other sub-requests are cancelled only after this time. Most end
+ * by themselves before, as a searcher's pause is over after 200 ms, and then their connections are
+ * kept. */
 #define UNNEEDED_CANCEL_US 700000
 
-/* ---- the end of a request ---- */
+/* ---- answers and clean-up ---- */
 
 void forward_release(forward_t *forward, uint64_t within_us, uint64_t now_us)
 {
@@ -135,7 +136,7 @@
 	forward_finish(forward, &answer, now_us);
 }
 
-/* True when the request is over. */
+/* Returns true if the request is over. */
 static bool gather_try_answer(forward_t *forward, uint64_t now_us)
 {
 	bool all = forward->answered + forward->lost == forward->part_count;
@@ -163,7 +164,7 @@
 	forward_finish(forward, &answer, now_us);
 }
 
-/* Why a part that ran nowhere is lost. */
+/* Why a part that no searcher ran is lost. */
 static forward_outcome_t unsent_outcome(const part_t *part)
 {
 	if (part->queue_too_long)
@@ -171,7 +172,7 @@
 	return part->refusals ? FORWARD_REJECTED : FORWARD_NO_SEARCHER;
 }
 
-/* True when the request is over. */
+/* Returns true if the request is over. */
 static bool single_try_answer(forward_t *forward, uint64_t now_us)
 {
 	part_t *part = &forward->parts[0];
@@ -198,7 +199,7 @@
 				       : single_try_answer(forward, now_us);
 }
 
-/* ---- after each step ---- */
+/* ---- after each event ---- */
 
 bool forward_advance(forward_t *forward, uint64_t now_us)
 {
@@ -218,10 +219,10 @@
 	return false;
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-/* Whether searchers still listen that broke connections is known within a round trip; then parts
- * that were held back for it may go. */
+/* When to check held parts again: a round trip shows whether a searcher that closed connections
+ * still listens, and then they may be sent. */
 #define HELD_RECHECK_US 5000
 
 void forward_set_timer(forward_t *forward, uint64_t now_us)
--- a/src/core/forward.h
+++ b/src/core/forward.h
@@ -1,10 +1,11 @@
 /**
  * @file forward.h
- * The course of a forwarded request: to one searcher, or to one of each shard.
+ * Forwards a caller's request to one searcher, or to one searcher of each shard.
  *
- * Decides whom to send to, when to send once more, when an answer with parts missing is better than
- * a later one, and when a request is hopeless. Does no I/O: what is to be sent, cancelled or
- * answered goes out by callbacks, and time comes in.
+ * Chooses the searchers, decides when to hedge or retry, when an answer with missing parts is
+ * better than a later complete one, and when a request can no longer succeed. Does no I/O:
+ * callbacks send and cancel sub-requests and answer callers, and every call is given the current
+ * time.
  */
 #ifndef DS_FORWARD_H
 #define DS_FORWARD_H
@@ -19,26 +20,27 @@
 typedef struct forwarder_t forwarder_t;
 typedef struct forward_t forward_t;
 
-/** How one sub-request ended, as far as that can be known. */
+/** The outcome of a sub-request, as far as this VM can know it. */
 typedef enum sub_outcome_t {
-	SUB_ANSWERED, /**< a success that is the searcher's own */
-	SUB_FAILED,   /**< it ran, and the searcher answered with a failure */
-	SUB_NOT_RUN,  /**< the searcher said that it did not run it */
-	SUB_REPLACED, /**< not run: another searcher has the address now */
-	SUB_NOT_SENT, /**< no connection was made */
-	SUB_UNKNOWN,  /**< it may have run: cut, garbage, an answer to something else */
+	SUB_ANSWERED, /**< the searcher itself answered with a success */
+	SUB_FAILED,   /**< the request ran, and the searcher answered with a failure */
+	SUB_NOT_RUN,  /**< the searcher answered that it did not run the request */
+	SUB_REPLACED, /**< not run: another searcher now listens at the address */
+	SUB_NOT_SENT, /**< no connection could be opened */
+	SUB_UNKNOWN,  /**< the request may have run: the connection was lost, or the reply was
+			 invalid or belonged to another request */
 } sub_outcome_t;
 
-/** The reply to a sub-request. Owned by whoever holds it. */
+/** The reply to a sub-request. A function that takes the pointer takes ownership. */
 typedef struct sub_reply_t {
 	sub_outcome_t outcome;
-	bool broken; /**< unknown: the connection ended before any answer */
+	bool broken; /**< with SUB_UNKNOWN: the connection closed before any answer */
 	int status;
-	char *stamp;	      /**< what the searcher signed the reply with; NULL when it did not */
-	char *headers;	      /**< lines to hand on, each ended by CRLF; NULL when none */
-	reported_load_t load; /**< without a time: when it was heard is not known here */
+	char *stamp;   /**< the searcher's signature of the reply; NULL: unsigned */
+	char *headers; /**< header lines to relay to the caller, each ended by CRLF; NULL: none */
+	reported_load_t load; /**< at_us is unset: the time of receipt is not known here */
 	bool load_reported, load_malformed;
-	GString *body; /**< NULL when none */
+	GString *body; /**< NULL: none */
 } sub_reply_t;
 
 sub_reply_t *sub_reply_new(sub_outcome_t outcome);
@@ -50,121 +52,135 @@
 
 const char *sub_purpose_name(sub_purpose_t purpose);
 
-/** One sub-request that was sent. */
+/** A sub-request that was sent. */
 typedef struct subrequest_t {
-	sending_t sending;	     /* first: a searcher's queue holds pointers to it */
-	forward_t *forward;	     /**< NULL once the request was answered without it */
-	fingerprint_t fingerprint;   /**< of its request */
-	struct route_state_t *route; /**< what is measured of its route; outlives the request */
+	sending_t sending;  /* must be first: a searcher's queue holds pointers to it */
+	forward_t *forward; /**< NULL once the request was answered without this sub-request */
+	fingerprint_t fingerprint;   /**< of the caller's request */
+	struct route_state_t *route; /**< measurements of its route; outlives the request */
 	uint32_t part;
 	sub_purpose_t purpose;
-	bool isolated;	 /**< of a suspect, and nothing else of this VM is out to its searcher */
-	bool on_trial;	 /**< of a suspect whose trial was claimed for it */
-	bool superseded; /**< another searcher has answered the same part meanwhile */
+	bool isolated;	 /**< its request is suspect, and this VM has nothing else in flight to the
+			    searcher */
+	bool on_trial;	 /**< its request is suspect, and a trial was claimed for it */
+	bool superseded; /**< another searcher has answered the part in the meantime */
 	searcher_t *searcher;
 	pool_t *pool;
-	void *connection;	    /**< the connection; set by the task that owns it */
-	bool opens_connection;	    /**< no connection was idle: its time includes making one */
-	timer_entry_t cancel_timer; /**< when an unneeded one is cancelled */
-	timer_entry_t hang_timer;   /**< when its searcher is taken to pause, then to hang */
+	void *connection;      /**< the connection; set by the task that owns it */
+	bool opens_connection; /**< no connection was idle: its latency includes the time to connect
+				*/
+	timer_entry_t cancel_timer; /**< fires when the sub-request is cancelled because its answer
+				       is no longer needed */
+	timer_entry_t hang_timer; /**< fires when the searcher counts as stuck, then when it counts
+				     as hung */
 	forwarder_t *forwarder;
 } subrequest_t;
 
 typedef enum part_state_t {
-	PART_WAITING, /**< for room at a searcher, or held back: its request is suspect */
+	PART_WAITING, /**< for a searcher with a free connection, or held back because its request
+			 is suspect */
 	PART_SENT,
 	PART_ANSWERED,
-	PART_LOST, /**< no more to be hoped for */
+	PART_LOST, /**< given up: no answer can be had */
 } part_state_t;
 
-/** What is asked of one service for a request. */
+/** The part of a request that one service answers. */
 typedef struct part_t {
 	pool_t *pool;
 	part_state_t state;
 	forward_t *forward;
-	GList waiting; /**< in pool_t.waiting; data is the part */
+	GList waiting; /**< link in pool_t.waiting; data is the part */
 	bool is_queued;
-	sub_outcome_t last_outcome; /**< of its latest sub-request that got no answer */
-	uint32_t runs;	      /**< sub-requests that ran or may have run, those that are out too */
-	uint32_t refusals;    /**< sub-requests that did not run */
-	uint64_t sent_us;     /**< when it was last sent */
-	uint64_t hedge_us;    /**< when to send once more; 0: never */
-	GPtrArray *tried;     /**< searcher_t, referenced; NULL before the first */
+	sub_outcome_t last_outcome; /**< of its latest sub-request without an answer */
+	uint32_t runs;	   /**< sub-requests that ran or may have run, including those in flight */
+	uint32_t refusals; /**< sub-requests that did not run */
+	uint64_t sent_us;  /**< when its latest sub-request was sent */
+	uint64_t hedge_us; /**< when to consider a hedge; 0: never */
+	GPtrArray *tried;  /**< searcher_t, referenced, in the order of sending: they are not tried
+			      again; NULL before the first */
 	GPtrArray *in_flight; /**< subrequest_t */
 	sub_reply_t *reply;   /**< the answer, or the last failure */
-	bool shed;	      /**< left out: its shard is short, and the request has enough
-			       * without it */
-	bool queue_too_long;  /**< it would have waited for room past its deadline */
-	bool unknown;	      /**< some sub-request may have run without our knowing its end */
+	bool shed; /**< left out: its shard is overloaded, and the request has enough coverage
+		      without it */
+	bool queue_too_long; /**< refused because its wait for a free connection would have passed
+				the deadline */
+	bool unknown;	     /**< some sub-request may have run, but its outcome is not known */
 } part_t;
 
-/** Why a request got the answer it got. */
+/** The outcome of a request, which decides its answer. */
 typedef enum forward_outcome_t {
 	FORWARD_ANSWERED,
-	FORWARD_NOT_READY, /**< no configuration or no searchers known yet */
+	FORWARD_NOT_READY, /**< the configuration or the list of searchers is not known yet */
 	FORWARD_NO_ROUTE,
-	FORWARD_NO_SEARCHER,   /**< none is registered that may be sent work */
-	FORWARD_SHUTTING_DOWN, /**< this VM is about to end, and takes nothing new */
-	FORWARD_TOO_LATE,      /**< its time was over when it was read */
-	FORWARD_FULL,	       /**< no room, and none in time */
-	FORWARD_REJECTED,      /**< every searcher asked refused it without running it */
-	FORWARD_TOO_FEW,       /**< too few parts can still be had */
-	FORWARD_FAILED,	       /**< it may have run; the answer is lost */
-	FORWARD_TIMEOUT,       /**< sent, and no answer in time */
-	FORWARD_BLOCKED,       /**< not sent: searchers have ended under it */
-	FORWARD_DEFERRED,      /**< not sent: it is suspect, and another attempt is on trial */
+	FORWARD_NO_SEARCHER,   /**< no searcher is registered that may get new work */
+	FORWARD_SHUTTING_DOWN, /**< this VM is shutting down and takes no new requests */
+	FORWARD_TOO_LATE,      /**< its deadline had passed when it was read */
+	FORWARD_FULL,	       /**< no searcher has a free connection, or will have one in time */
+	FORWARD_REJECTED, /**< every searcher that was tried refused the request without running it
+			   */
+	FORWARD_TOO_FEW,  /**< too few parts can still be answered */
+	FORWARD_FAILED,	  /**< the request may have run; the answer is lost */
+	FORWARD_TIMEOUT,  /**< sent, but not answered in time */
+	FORWARD_BLOCKED,  /**< not sent: searchers have crashed while running it */
+	FORWARD_DEFERRED, /**< not sent: the request is suspect, and another attempt at it is on
+			     trial */
 	FORWARD_OUTCOMES,
 } forward_outcome_t;
 
-/** What the caller is told. Borrowed for the call. */
+/** The answer to the caller. Valid only during the call. */
 typedef struct forward_answer_t {
 	forward_outcome_t outcome;
-	const sub_reply_t *reply; /**< one searcher's, to be handed on; NULL for none */
-	const GString *stamps;	  /**< gathers: of the parts that are in, joined by ", " */
+	const sub_reply_t *reply; /**< a searcher's reply to relay; NULL: none */
+	const GString *stamps;	  /**< gathers: signatures of the answered parts, joined by ", " */
 	const GString *records;	  /**< gathers: the merged body */
 	uint32_t parts, missing;  /**< gathers */
-	uint64_t retry_after_us;  /**< not run: when to come back */
+	uint64_t retry_after_us; /**< outcomes without a run: how long the caller should wait before
+				    it retries */
 } forward_answer_t;
 
-/** A request as the caller sent it; texts are owned by the owner and outlive the request. */
+/** A request as the caller sent it. The owner keeps the texts until the request is over. */
 typedef struct forward_request_t {
 	const char *id;
 	const char *host;
 	const char *target;
 	fingerprint_t fingerprint;
 	uint64_t received_us;
-	uint64_t patience_us;  /**< how long the caller waits; 0: it did not say */
-	uint32_t max_attempts; /**< searchers of a shard that may run it for now; 0: as many as
-				* its route says */
-	bool is_resend; /**< another VM may have sent sub-requests of it: the first ones count as
-			 * retries */
+	uint64_t patience_us;  /**< how long the caller waits; 0: not given */
+	uint32_t max_attempts; /**< how many searchers of a shard may run it for now; 0: as many as
+				  its route allows */
+	bool is_resend; /**< another VM may have sent sub-requests of it already: the first ones of
+			   this VM count as retries */
 } forward_request_t;
 
-/** What a request's time is spent on, by its route. */
+/** The time limits of a request on its route. */
 typedef struct forward_times_t {
-	uint64_t deadline_us; /**< then its caller must have an answer */
-	uint64_t partial_us;  /**< from then on, what is there is given if it is enough */
+	uint64_t deadline_us; /**< the caller must have an answer by then */
+	uint64_t partial_us;  /**< from then on, an incomplete answer is given if its coverage is
+				 enough */
 } forward_times_t;
 
 struct forward_t {
 	forwarder_t *forwarder;
 	forward_request_t request;
-	routing_t *routing; /**< the version that it is handled by, to its end */
+	routing_t *routing; /**< the routing version that applies to the request until it is over */
 	const route_t *route;
 	struct route_state_t *state;
-	uint32_t max_attempts; /**< searchers of a shard that may run it */
+	uint32_t max_attempts; /**< how many searchers of a shard may run it */
 	uint64_t deadline_us;
-	uint64_t partial_us; /**< from then on, what is there is given if it is enough */
+	uint64_t partial_us; /**< from then on, an incomplete answer is given if its coverage is
+				enough */
 	timer_entry_t timer;
 	part_t *parts;
 	uint32_t part_count;
 	uint32_t answered;
 	uint32_t lost;
-	part_t *probe;	       /**< the one that was sent alone because searchers ended under it */
-	bool has_turn;	       /**< its turn among the attempts at the same request has come */
-	bool has_trial;	       /**< and others wait until it is over */
-	bool has_lost_turn;    /**< and will not come while its caller waits */
-	uint64_t held_from_us; /**< since when it waits for its turn; 0: it did not have to */
+	part_t *probe;	/**< the part that is sent alone, because searchers have crashed while
+			   running the request */
+	bool has_turn;	/**< this attempt's turn among the attempts at the same request has come */
+	bool has_trial; /**< this attempt holds the trial; the other attempts wait until the trial
+			   is over */
+	bool has_lost_turn;    /**< the turn will not come before the caller's deadline */
+	uint64_t held_from_us; /**< since when it has waited for its turn; 0: it did not wait */
 	bool finished;
 	void *owner;
 };
@@ -172,15 +188,15 @@
 typedef struct forwarder_ops_t {
 	/** Send @p sub on a connection to its searcher; sets sub->carrier. */
 	void (*send)(void *ctx, subrequest_t *sub);
-	/** Nobody waits for it any more: close its connection. forwarder_sub_ended() does not
-	 * follow. */
+	/** The answer is no longer needed: close the connection of @p sub. forwarder_sub_ended()
+	 * must not follow. */
 	void (*cancel)(void *ctx, subrequest_t *sub);
-	/** The one answer; the request is freed after the return. */
+	/** Answer the caller; called once. The request is freed after the return. */
 	void (*answer)(void *ctx, forward_t *forward, const forward_answer_t *answer);
-	/** Something that other VMs should know. May be NULL. */
+	/** Share @p observation with the other VMs. May be NULL. */
 	void (*observed)(void *ctx, const observation_t *observation);
-	/** Requests that crash searchers; NULL: no other VM is told of them. Its callbacks get @p
-	 * ctx, too. */
+	/** Callbacks for requests that crash searchers, which get the same @p ctx; NULL: other VMs
+	 * are not notified of such requests. */
 	const poison_ops_t *poison;
 } forwarder_ops_t;
 
@@ -189,67 +205,70 @@
 	uint64_t requests;
 	uint64_t ends[FORWARD_OUTCOMES];
 	uint64_t partial;
-	uint64_t left; /**< callers that went away */
+	uint64_t left; /**< callers that disconnected */
 	uint64_t firsts, hedges, retries, waited;
-	uint64_t shed; /**< parts left out because their shard is short */
+	uint64_t shed; /**< parts left out because their shard is overloaded */
 	uint64_t sub_ends[SUB_UNKNOWN + 1];
-	uint64_t loads_reported;  /**< replies that told their searcher's load */
+	uint64_t loads_reported;  /**< replies that reported their searcher's load */
 	uint64_t loads_malformed; /**< replies whose load could not be read */
 } forwarder_counters_t;
 
 forwarder_t *forwarder_new(const forwarder_ops_t *ops, void *ctx, registry_t *registry,
 			   uint32_t seed);
 void forwarder_free(forwarder_t *forwarder);
-/** Put @p routing in force for requests to come; takes the reference. */
+/** Use @p routing for new requests; takes the reference. */
 void forwarder_set_routing(forwarder_t *forwarder, routing_t *routing);
 const routing_t *forwarder_routing(const forwarder_t *forwarder);
 
-/** Take nothing more: requests to come are refused as not run. What is under way goes on. */
+/** Refuse new requests as not run. Requests in progress continue. */
 void forwarder_stop_accepting(forwarder_t *forwarder);
-/** Take in a request. The answer may come before the return; then NULL is returned. */
+/** Accept a request. Returns NULL if the request was answered before the return. */
 forward_t *forwarder_submit(forwarder_t *forwarder, const forward_request_t *request, void *owner,
 			    uint64_t now_us);
-/** What @p request may take on @p route. */
+/** The time limits of @p request on @p route. */
 forward_times_t forward_times(const forward_request_t *request, const route_t *route);
-/** Let @p more searchers of each shard run it. */
+/** Let @p more searchers of each shard run the request. */
 void forward_allow_attempts(forward_t *forward, uint32_t more, uint64_t now_us);
-/** The caller has gone: no answer, and what is out is soon cancelled. */
+/** The caller has disconnected: it gets no answer, and sub-requests in flight are cancelled soon.
+ */
 void forwarder_abandon(forwarder_t *forwarder, forward_t *forward, uint64_t now_us);
-/** A sub-request has ended; takes @p reply. @p sub is freed. */
+/** A sub-request is over. Takes ownership of @p reply and frees @p sub. */
 void forwarder_sub_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
 			 uint64_t now_us);
-/** Nobody listens at the port of @p searcher any more, or a newer start of it is known. */
+/** The process of @p searcher has ended: its port refuses connections, or a newer start of it is
+ * known. */
 void forwarder_searcher_ended(forwarder_t *forwarder, const searcher_t *searcher, uint64_t now_us);
-/** It has accepted a connection that was begun at @p since_us. */
+/** @p searcher has accepted a connection that was opened at @p since_us. */
 void forwarder_searcher_listens(forwarder_t *forwarder, const searcher_t *searcher,
 				uint64_t since_us);
-/** Requests under which searchers have ended. */
+/** The records of requests that searchers crashed on. */
 poison_t *forwarder_poison(const forwarder_t *forwarder);
-/** Whether a request would be refused because searchers end under it. */
+/** Whether a request would be refused because searchers crash on it. */
 bool forwarder_is_blocked(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us);
-/** Another VM of this region has seen this of a searcher. */
+/** Another VM of this region has shared an observation of a searcher. */
 void forwarder_take_observation(forwarder_t *forwarder, const observation_t *observation,
 				uint64_t now_us);
-/** A searcher has room again, or is new. */
+/** Send the parts that wait for @p service, as far as searchers can take them: one is new or has a
+ * free connection again. */
 void forwarder_dispatch_waiting(forwarder_t *forwarder, const char *service, uint64_t now_us);
-/** Searchers that @p part was not sent to, by why. */
+/** Searchers that @p part was not sent to, counted by reason. */
 passed_over_t forward_passed_over(const part_t *part, uint64_t now_us);
-/** What is left of the caller's time. */
+/** The time left to the deadline. */
 uint64_t forward_time_left_us(const forward_t *forward, uint64_t now_us);
-/** For how long its searcher should work on @p sub: the deadline that it is told. */
+/** How long the searcher may work on @p sub, sent to it as its deadline. */
 uint64_t subrequest_time_left_us(const subrequest_t *sub, uint64_t now_us);
 
 uint64_t forwarder_next_us(const forwarder_t *forwarder);
 void forwarder_run(forwarder_t *forwarder, uint64_t now_us);
 uint32_t forwarder_open(const forwarder_t *forwarder);
 const forwarder_counters_t *forwarder_counters(const forwarder_t *forwarder);
-/** Called with how long the answers of @p route took. */
+/** Called with the latencies of the answers of @p route. */
 typedef void (*forwarder_latency_f)(void *ctx, const char *route, const latency_buckets_t *latency);
-/** Visit all routes that were used since the start. */
+/** Visit all routes that had requests since the start of this VM. */
 void forwarder_visit_latency(const forwarder_t *forwarder, forwarder_latency_f visit, void *ctx);
 const char *part_state_name(part_state_t state);
 const char *forward_outcome_name(forward_outcome_t outcome);
-/** HTTP status of an answer that is not a searcher's own. */
+/** HTTP status of an answer that does not come from a searcher. */
 int forward_outcome_status(forward_outcome_t outcome);
 
 #endif
--- a/src/core/forward_end.c
+++ b/src/core/forward_end.c
@@ -1,6 +1,6 @@
 /**
  * @file forward_end.c
- * What the ends of a forwarded request are called, and what its caller is told. See forward.h.
+ * Names and HTTP statuses of the outcomes of a forwarded request. See forward.h.
  */
 #include "core/forward.h"
 
--- a/src/core/forward_private.h
+++ b/src/core/forward_private.h
@@ -1,10 +1,10 @@
 /**
  * @file forward_private.h
- * Shared by the parts of the forwarder: forwarder.c takes requests in, forward.c leads one to its
- * answer, forward_suspect.c holds back one that searchers have ended under, part.c gets the answer
- * of one service, sub.c is one sub-request, route_state.c what is measured of a route. Each calls
- * only what stands after it in this list, but for part_* telling its request to settle, and
- * forward_has_* that any may ask.
+ * Internals of the forwarder. forwarder.c accepts requests, forward.c carries one request to its
+ * answer, forward_suspect.c holds back a request that searchers have crashed on, part.c gets the
+ * answer of one service, sub.c handles one sub-request, and route_state.c measures a route. Each
+ * file calls only files after it in this list, with two exceptions: part_* functions call back into
+ * their request, and any file may call the forward_has_* queries.
  */
 #ifndef DS_FORWARD_PRIVATE_H
 #define DS_FORWARD_PRIVATE_H
@@ -19,9 +19,10 @@
 	routing_t *routing;
 	GHashTable *states; /* route name to route_state_t */
 	timers_t timers;
-	timers_t hang_timers; /* of sub-requests that are out: they decide nothing of a request */
+	timers_t hang_timers; /* of sub-requests in flight; they do not change the course of a
+				 request */
 	timer_entry_t
-		cold_timer; /* when parts that wait may be sent to a searcher that is cold now */
+		cold_timer; /* when waiting parts may be sent to a searcher that is cold now */
 	GRand *rand;
 	uint32_t open;
 	bool shutting_down;
@@ -30,78 +31,82 @@
 	forwarder_counters_t counters;
 };
 
-/** A part waits that may be sent at @p at_us, whatever ends until then. */
+/** Dispatch waiting parts at @p at_us, even if no sub-request ends before. */
 void forwarder_dispatch_at(forwarder_t *forwarder, uint64_t at_us);
-/** Tell the other VMs what was seen of the searcher of @p sub. */
+/** Share with the other VMs what this VM observed of the searcher of @p sub. */
 void forwarder_share_observation(forwarder_t *forwarder, const subrequest_t *sub,
 				 observation_type_t type, uint64_t now_us);
 
-/** A sub-request on its way to @p searcher; its request and service are those of @p part. */
+/** Create a sub-request to @p searcher, for the request and the service of @p part. */
 subrequest_t *subrequest_new(part_t *part, searcher_t *searcher, sub_purpose_t purpose,
 			     uint64_t now_us);
 void subrequest_free(subrequest_t *sub);
-/** Its request is over; it may still end by itself @p within_us, which saves the connection. */
+/** Detach @p sub from its request, which is over. It is cancelled after @p within_us; if it ends
+ * before, its connection can be reused. */
 void subrequest_release(subrequest_t *sub, uint64_t within_us, uint64_t now_us);
 
-/** Whom the part's next sub-request may be sent to. */
+/** The searchers that the part's next sub-request may be sent to. */
 candidates_t part_candidates(const part_t *part);
-/** Whether the part is held back until it is known what its request does to a searcher. */
+/** Whether the part is held back until it is known whether searchers survive its request. */
 bool part_is_held(const part_t *part);
-/** Send what was held back, its first sub-request or the next one; or queue it, or lose it. */
+/** Send the sub-request that was held back, the first or a retry; otherwise queue the part or give
+ * it up. */
 void part_resume(part_t *part, uint64_t now_us);
-/** Whom to send the part's next sub-request to, or NULL when nobody has room. */
+/** The searcher for the part's next sub-request, or NULL if none has a free connection. */
 searcher_t *part_choose(const part_t *part, uint64_t now_us);
-/** Send the part's next sub-request, or lose it; false when nobody has room for it now. */
+/** Send the part's next sub-request, or give the part up if no searcher is left. Returns false if
+ * no searcher has a free connection now. */
 bool part_start(part_t *part, sub_purpose_t purpose, uint64_t now_us);
-/** Whether room for the part would come too late for its caller's deadline. */
+/** Whether a free connection would come too late for the caller's deadline. */
 bool part_would_miss_deadline(const part_t *part, uint64_t now_us);
-/** Queue a part for which nobody has room, or go without it. */
+/** Queue a part for which no searcher has a free connection, or give it up. */
 void part_wait(part_t *part, uint64_t now_us);
-/** Send once more, if that is due and allowed; else set when to look again. */
+/** Send a hedge if it is due and allowed; otherwise set when to check again. */
 void part_hedge(part_t *part, uint64_t now_us);
-/** Its request may be sent more often than before: set when to look whether it should. */
+/** More searchers may run the request than before: set when to check for a hedge. */
 void part_allow_attempts(part_t *part, uint64_t now_us);
-/** A sub-request of the part has ended; takes @p reply. */
+/** A sub-request of the part is over; takes ownership of @p reply. */
 void part_take_reply(part_t *part, subrequest_t *sub, sub_reply_t *reply, uint64_t now_us);
-/** Room was found at @p searcher for a part that waits: send it, if it is not too late for that. */
+/** Send a waiting part to @p searcher, which has a free connection, unless it is too late.
+ */
 void part_send_waiting(part_t *part, searcher_t *searcher, uint64_t now_us);
-/** Stop waiting for room. */
+/** Remove the part from its pool's queue. */
 void part_unqueue(part_t *part);
-/** Give the part up. */
+/** Give the part up: it is lost. */
 void part_lose(part_t *part);
 
-/** Whether searchers ended under the request, and none has answered this attempt at it. */
+/** Whether the request is suspect, and no searcher has answered this attempt at it. */
 bool forward_is_suspect(const forward_t *forward, uint64_t now_us);
-/** Whether what is sent for @p part now is a trial that was claimed. */
+/** Whether a sub-request sent for @p part now belongs to a claimed trial. */
 bool forward_is_on_trial(const part_t *part);
-/** The sub-request that was sent alone is over, as @p end says. */
+/** The sub-request that was sent alone is over with the result @p end. */
 void forward_probe_ended(forward_t *forward, const trial_end_t *end, uint64_t now_us);
-/** Give up the parts that are held back. */
+/** Give up all parts that are held back. */
 void forward_lose_held_parts(forward_t *forward);
 /** Send one part that is held back, or all of them, or give them up. */
 void forward_resume_held(forward_t *forward, uint64_t now_us);
-/** Why it is refused without having been sent, if searchers ended under it; else FORWARD_OUTCOMES.
+/** The outcome with which a suspect request is refused unsent; FORWARD_OUTCOMES: not refused.
  */
 forward_outcome_t forward_suspect_outcome(const forward_t *forward, uint64_t now_us);
-/** It is over with its trial: another attempt may be tried. */
+/** Release the trial of a request that is over: another attempt may be tried. */
 void forward_end_trial(const forward_t *forward, uint64_t now_us);
-/** Whether a searcher may have run some part of it. */
+/** Whether a searcher may have run some part of the request. */
 bool forward_may_have_run(const forward_t *forward);
-/** Send one part that is held back, or all of them; then answer, or set the timer. True when the
- * request is over, and freed. */
+/** Send one part that is held back, or all of them; then answer or set the timer. Returns true if
+ * the request is over; it is freed then. */
 bool forward_advance(forward_t *forward, uint64_t now_us);
-/** Answer if it is time to; true when the request is over, and freed. */
+/** Answer the caller if it is time to. Returns true if the request is over; it is freed then. */
 bool forward_try_answer(forward_t *forward, uint64_t now_us);
-/** Whether @p parts answered are enough for a success. */
+/** Whether @p parts answered parts are enough for a success. */
 bool forward_has_enough(const forward_t *forward, uint32_t parts);
-/** Set the timer for what is next. */
+/** Set the timer to the next event: a deadline, a hedge, or a check of held parts. */
 void forward_set_timer(forward_t *forward, uint64_t now_us);
-/** End the request without an answer of a searcher. */
+/** End the request with an answer that does not come from a searcher. */
 void forward_refuse(forward_t *forward, forward_outcome_t outcome, uint64_t now_us);
-/** Let go of what is out; it is cancelled after @p within_us. */
+/** Detach the sub-requests in flight; they are cancelled after @p within_us. */
 void forward_release(forward_t *forward, uint64_t within_us, uint64_t now_us);
 void forward_free(forward_t *forward, uint64_t now_us);
-/** The request's timer. */
+/** Called when the request's timer fires. */
 void forward_on_timer(void *ctx, uint64_t now_us);
 
 #endif
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -1,17 +1,19 @@
 /**
  * @file forwarder.c
- * Takes requests in, and the ends of sub-requests. See forward.h.
+ * Accepts requests and processes finished sub-requests. See forward.h.
  */
 #include "core/forward_private.h"
 
 #include "core/retry_after.h"
 
-/* The caller's clock started a trip earlier, and the answer needs another, of some ms each, and a
- * turn of this loop. */
+/* A request's deadline and target are this much before those of its caller. The caller's clock
+ * started when it sent the request; the way here, the way back (some ms each) and a pass of the
+ * event loop take time. */
 #define NETWORK_MARGIN_US 9000
-/* Callers that do not say how long they wait, on routes without a timeout. */
+/* For callers that give no timeout, on routes without one. */
 #define DEFAULT_CALLER_TIMEOUT_US 5000000
-/* A caller that left must not keep searchers at work for half a second: close well before that. */
+/* When a caller has disconnected, searchers must not work for it for half a second: its
+ * sub-requests are cancelled well before that. */
 #define ABANDONED_CANCEL_US 250000
 
 static void on_cold_timer(void *ctx, uint64_t now_us);
@@ -46,9 +48,10 @@
 }
 
 /*
- * At once, and not with the shares of this VM: a VM that stood still reads a version that names new
- * searchers, cold ones, and the requests that have waited, in one turn. Without the bound all of
- * these would go to them.
+ * Sets the limits together with the routing, not later with this VM's shares. A VM that was
+ * suspended may read, in one pass of the event loop, a version that names new, cold searchers and
+ * all requests that have arrived meanwhile. Without the limit all of these would go to those
+ * searchers.
  */
 static void set_cold_limits(const forwarder_t *forwarder)
 {
@@ -140,7 +143,8 @@
 					   .born_ms = sub->searcher->born_ms,
 					   .after_us = now_us - sub->sending.sent_us};
 
-	/* The time to connect says little of the searcher, and is long when many VMs start. */
+	/* The time to connect says little about the searcher and is long when many VMs start
+	 * together. */
 	if (sub->opens_connection || !forwarder->ops->observed)
 		return;
 	if (observation_filter_passes(&forwarder->observation_filter, type, now_us))
@@ -170,7 +174,8 @@
 	latency_buckets_add(&sub->pool->latency, took_us);
 }
 
-/* What an end says of the searcher's process, and of what its request does to searchers. */
+/* Records what an outcome shows about the searcher's process, and about whether searchers survive
+ * the request. */
 static void note_survival(forwarder_t *forwarder, const subrequest_t *sub, const sub_reply_t *reply,
 			  uint64_t now_us)
 {
@@ -219,7 +224,7 @@
 	return poison_judge(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
 }
 
-/* Another searcher at its address tells its own. */
+/* A reply from another searcher at the same address carries that one's load. */
 static void note_load(forwarder_t *forwarder, searcher_t *searcher, const sub_reply_t *reply,
 		      uint64_t now_us)
 {
@@ -276,7 +281,7 @@
 	forwarder_dispatch_waiting(forwarder, pool->service, now_us);
 }
 
-/* The first waiting part for which nobody is left, or NULL. */
+/* The first waiting part for which no searcher is left, or NULL. */
 static part_t *part_without_candidates(const pool_t *pool)
 {
 	for (GList *item = pool->waiting.head; item; item = item->next) {
@@ -289,7 +294,8 @@
 	return NULL;
 }
 
-/* Searchers that leave while parts wait for them must not leave those waiting to their deadline. */
+/* When the last searcher for a waiting part leaves, the part is given up at once instead of waiting
+ * to its deadline. */
 static void lose_without_candidates(pool_t *pool, uint64_t now_us)
 {
 	part_t *part;
@@ -315,12 +321,12 @@
 
 		next = item->next;
 		if (!searcher && !part->tried && !forward->route->regions && forward->probe != part)
-			break; /* nobody has room, for any part */
+			break; /* no searcher has a free connection, for any part */
 		if (!searcher)
 			continue;
 		part_send_waiting(part, searcher, now_us);
 		if (forward_try_answer(forward, now_us))
-			next = pool->waiting.head; /* its other parts have left, too */
+			next = pool->waiting.head; /* its other parts left the queue, too */
 		else
 			forward_set_timer(forward, now_us);
 	}
@@ -335,8 +341,9 @@
 		timers_set(&forwarder->timers, timer, at_us);
 }
 
-/* No answer comes from a searcher that is sent nothing: those that wait for it to warm up would
- * wait to their deadline. */
+/* Waiting parts are normally dispatched when an answer frees a connection. A cold searcher that is
+ * sent nothing sends no answer, so without this timer parts that wait for it would wait to their
+ * deadline. */
 static void on_cold_timer(void *ctx, uint64_t now_us)
 {
 	forwarder_t *forwarder = ctx;
@@ -391,7 +398,7 @@
 		part_init(forward, i, g_array_index(targets, route_target_t, i).service, now_us);
 }
 
-/* Before anything is sent: what is hopeless from the start must not put any searcher to work. */
+/* Runs before anything is sent: a request that cannot succeed must not put searchers to work. */
 static void lose_unservable(forward_t *forward)
 {
 	for (uint32_t i = 0; i < forward->part_count; i++) {
@@ -443,9 +450,10 @@
 }
 
 /*
- * Whether so many parts would wait past the deadline that the rest is not enough. Found out only
- * after the others were sent, the request could not be refused as not run: searchers worked for
- * nothing, and the caller was told of a failure in place of when to come back.
+ * Whether so many parts would wait past the deadline that the others are not enough. If this were
+ * found only after the others were sent, the request could no longer be refused as not run:
+ * searchers would have worked for nothing, and the caller would get a failure instead of a retry
+ * delay.
  */
 static bool is_coverage_unreachable(const forward_t *forward, uint64_t now_us)
 {
@@ -468,7 +476,7 @@
 	return placement_wait_us(&candidates, now_us);
 }
 
-/* The part without room that would wait longest, or NULL. */
+/* The part without a free connection that would wait longest, or NULL. */
 static part_t *longest_wait(const forward_t *forward, uint64_t now_us)
 {
 	part_t *longest = NULL;
@@ -485,9 +493,10 @@
 }
 
 /*
- * Where several shards are short, a request goes without the one that is shortest. In the order of
- * the shards the first was left out of nearly all requests, and had room to spare, while the others
- * were not relieved.
+ * Where several shards are overloaded, a request leaves out the most overloaded one: of the parts
+ * without a free connection, the one with the longest expected wait is queued or shed first. If the
+ * order of the shards decided, the first shard would be left out of nearly all requests and have
+ * connections to spare, while the others would not be relieved.
  */
 static void start_parts(forward_t *forward, uint64_t now_us)
 {
@@ -535,7 +544,8 @@
 	forwarder->open++;
 	set_times(forward);
 	create_parts(forward, now_us);
-	/* Read late, after a long turn of the loop: a searcher would work for nobody. */
+	/* The request was read late, after a long pass of the event loop: a searcher would work on
+	 * it for nothing. */
 	if (forward_time_left_us(forward, now_us) == 0) {
 		forward_refuse(forward, FORWARD_TOO_LATE, now_us);
 		return NULL;
