--- a/src/core/part.c
+++ b/src/core/part.c
@@ -1,28 +1,33 @@
 /**
  * @file part.c
- * What is asked of one service for a request: whom it is sent to, when it is sent once more, and
- * when it is given up. See forward.h.
+ * The part of a request that one service answers: which searcher it is sent to, when it is hedged
+ * or retried, and when it is given up. See forward.h.
  */
 #include "core/forward_private.h"
 
 #include "core/shedding.h"
 
-/* A sub-request that is out for longer than this many times the usual met a pause, a slow searcher
- * or a queue in most cases, and there are fewer of those than the budget allows. */
+/* A hedge is due after this many times the expected latency. A sub-request in flight for longer has
+ * in most cases met a pause, a slow searcher or a queue, and the retry budget suffices for hedging
+ * those. */
 #define HEDGE_LATENCY_FACTOR 1.5
-/* So much more when the budget is used up: then hardly any but what pauses or hangs is sent once
- * more. */
+/* Added to HEDGE_LATENCY_FACTOR when the budget is used up, and in proportion before: then hardly
+ * any but sub-requests at pausing or hung searchers are hedged. */
 #define HEDGE_SPENT_FACTOR 0.8
 #define HEDGE_MIN_US 13000
-/* Room for a second answer that takes longer than expected. */
+/* Allows for a second answer that takes longer than expected: a hedge needs this many times its
+ * expected latency before the target. */
 #define HEDGE_ANSWER_FACTOR 1.3
-/* So few searchers may pause at the same time. */
+/* In a gather with this many parts or more, hedges are held until a first part is answered: so many
+ * searchers do not pause at the same time, but fewer may. */
 #define HEDGE_HELD_MIN_PARTS 3
-/* When the budget refuses, ask again after so long. */
+/* When to check again after a hedge was refused by the budget or could not be sent. */
 #define HEDGE_RECHECK_US 20000
-/* Refusals end a part only after so many: each is an arrival that the budget counts. */
+/* A part is given up when it has had more refusals than this. Each refused sub-request counts in
+ * the retry budget. */
 #define MAX_REFUSALS 3
-/* Three refusals in a row; two may be a moment at which it is full. */
+/* A failure rate that three refusals in a row reach; two may only mean that the searcher was full
+ * for a moment. */
 #define REFUSAL_RATE_MIN 0.3
 
 candidates_t part_candidates(const part_t *part)
@@ -44,13 +49,14 @@
 }
 
 /*
- * By what this searcher takes, and not by what the route's parts take: when some searchers are slow
- * or dark, many parts go to far ones, the median of all rises, and with it hedges would come so
- * late that their answers are past the target. Yet a searcher serves routes with more and with less
- * work, so the route's own share of that counts.
+ * Based on the expected latency of the searcher that has the part, not on the median of the route's
+ * parts: when some searchers are slow or do not answer, many parts go to far searchers, the median
+ * rises, and hedges would be sent so late that their answers miss the target. Searchers serve
+ * routes with more and with less work, so the route's relative latency is applied.
  *
- * The less of the budget is left, the later: where many VMs share it, each has few extra
- * sub-requests for a shard. Spent early, they are gone when a searcher pauses.
+ * The less of the budget is left, the later the hedge: where many VMs share the budget, each has
+ * few extra sub-requests for a shard. If they were spent early, none would be left when a searcher
+ * pauses.
  */
 static uint64_t hedge_due_us(part_t *part, uint64_t now_us)
 {
@@ -64,7 +70,7 @@
 	return part->sent_us + (uint64_t)MAX(after_us, HEDGE_MIN_US);
 }
 
-/* The last moment at which a second answer still comes within the target. */
+/* The latest time for a hedge whose answer still arrives within the target. */
 static uint64_t hedge_late_us(const forward_t *forward, double cost_us)
 {
 	uint64_t need_us = (uint64_t)(cost_us * HEDGE_ANSWER_FACTOR);
@@ -97,7 +103,7 @@
 	forwarder->ops->send(forwarder->ctx, sub);
 }
 
-/* ---- waiting for room ---- */
+/* ---- waiting for a free connection ---- */
 
 void part_unqueue(part_t *part)
 {
@@ -107,8 +113,9 @@
 }
 
 /*
- * Parts first whose request fails without them, then urgent ranks, then in order of arrival. One
- * that has left out as many parts as it may would otherwise wait behind others that can do without.
+ * Parts whose request fails without them come first, then lower ranks, then earlier arrivals.
+ * Otherwise a part of a request that has already left out as many parts as it may would wait behind
+ * parts that their requests can do without.
  */
 static bool goes_before(const part_t *part, const part_t *other)
 {
@@ -143,7 +150,7 @@
 	part->forward->forwarder->counters.waited++;
 }
 
-/* Parts that wait already move up when the request can't do without them any more. */
+/* Moves a waiting part up when its request can no longer do without it. */
 static void part_move_up(part_t *part)
 {
 	part_unqueue(part);
@@ -181,7 +188,8 @@
 	part_lose(part);
 }
 
-/* Refused now, its caller can come back in time; held, it would be refused at its deadline. */
+/* A caller that is refused now can retry in time; if its part waited, it would be refused at the
+ * deadline. */
 bool part_would_miss_deadline(const part_t *part, uint64_t now_us)
 {
 	const candidates_t candidates = part_candidates(part);
@@ -205,7 +213,8 @@
 		part_queue(part, now_us);
 }
 
-/* Two suspects at one searcher, and nobody could say which of them it ended under. */
+/* Suspects are placed apart: if two ran at one searcher, nobody could tell which of them crashed
+ * it. */
 searcher_t *part_choose(const part_t *part, uint64_t now_us)
 {
 	const candidates_t candidates = part_candidates(part);
@@ -240,9 +249,10 @@
 }
 
 /*
- * A searcher works on a part until the time that it is told. Past the target a part of a short
- * shard is of no use, if the request has enough without it; the next one is. A suspect that is cut
- * short shows nothing: its searcher may have been about to end.
+ * A searcher works on a part until the deadline that it is sent. In an overloaded shard, a part
+ * past its target is of no use if the request has enough coverage without it, while the next part
+ * is. A suspect keeps its full time: if it is cut short, the outcome shows nothing, as its searcher
+ * may have been about to crash.
  */
 uint64_t subrequest_time_left_us(const subrequest_t *sub, uint64_t now_us)
 {
@@ -258,16 +268,18 @@
 /* ---- hedges ---- */
 
 /*
- * Searchers do not pause all at once: a gather of which nothing is in is long itself, or it crashes
- * those that run it. Its hedges would gain nothing, or end as many searchers again before the first
- * end is known. Where all near searchers went silent, they still come within the target.
+ * Searchers do not pause all at once: a gather of which no part is answered either takes long
+ * itself or crashes the searchers that run it. Its hedges would gain nothing, or crash as many
+ * searchers again before the first crash is known. If in fact all near searchers stopped answering,
+ * the held hedges are still sent early enough for the target.
  */
 static bool may_hedge_early(const forward_t *forward)
 {
 	return forward->answered || forward->part_count < HEDGE_HELD_MIN_PARTS;
 }
 
-/* To connect costs the searcher a handshake, and late parts come in numbers. */
+/* Without an idle connection, a hedge is sent only at the latest time: connecting costs the
+ * searcher a handshake, and many parts tend to be late at once. */
 static uint64_t hedge_at_us(part_t *part, const searcher_t *searcher, uint64_t late_us,
 			    uint64_t now_us)
 {
@@ -327,8 +339,8 @@
 }
 
 /*
- * A searcher's failure says that it ran. A second try that is refused afterwards must not take its
- * place, or the caller would be told that the request has not run.
+ * A failure from a searcher means that the request ran. A refusal of a later retry must not replace
+ * it, or the caller would be told that the request has not run.
  */
 static void part_store_reply(part_t *part, sub_reply_t *reply)
 {
@@ -358,10 +370,11 @@
 }
 
 /*
- * Sent once more at once, each part would end another searcher: a gather over ten shards of three
- * ended all thirty within 0.1 s, and callers of all others got 502 until they were back. So the
- * next sub-request of the request waits until the one before has shown that a searcher survives it.
- * One that was sent alone and is lost, too, is not followed by others.
+ * If the parts of a request that crashes searchers were retried at once, each part would crash
+ * another searcher: a gather over ten shards of three searchers each crashed all thirty within 100
+ * ms, and callers of all other requests got 502 until the searchers were back. So the next
+ * sub-request waits until the one before has shown that a searcher survives the request. If a
+ * sub-request that was sent alone is lost as well, no others follow.
  */
 static void part_hold(part_t *part, bool gives_up)
 {
@@ -391,7 +404,7 @@
 						   .searcher = sub->searcher->id},
 				    now_us);
 	part_store_reply(part, reply);
-	if (part->in_flight->len) /* another one is out: its end decides */
+	if (part->in_flight->len) /* another one is in flight: its outcome decides */
 		return;
 	if (forward_is_suspect(forward, now_us))
 		part_hold(part, gives_up);
@@ -401,7 +414,7 @@
 		part_wait(part, now_us);
 }
 
-/* Hedges that waited for a first part to be in. */
+/* Schedules the hedges that were held until a first part was answered. */
 static void hedge_others(const part_t *answered, uint64_t now_us)
 {
 	forward_t *forward = answered->forward;
@@ -433,8 +446,8 @@
 }
 
 /*
- * A searcher that refuses a share of what it is sent may take the same part the next time; one that
- * has refused once is full for now.
+ * A searcher that refuses a share of its requests may accept the same part the next time. A
+ * searcher that has refused only once is full for now.
  */
 static void allow_retry_at(part_t *part, searcher_t *searcher, uint64_t now_us)
 {
--- a/src/core/sub.c
+++ b/src/core/sub.c
@@ -1,10 +1,10 @@
 /**
  * @file sub.c
- * One sub-request and its reply. See forward.h.
+ * A sub-request and its reply. See forward.h.
  */
 #include "core/forward_private.h"
 
-/* A timer that fires so late says that this VM stood still, not the searcher. */
+/* A timer that fires this late means that this VM was suspended, not that the searcher hangs. */
 #define LATE_TIMER_US 50000
 
 const char *sub_outcome_name(sub_outcome_t outcome)
@@ -54,16 +54,18 @@
 	g_free(reply);
 }
 
-/* After a long turn of the loop, or a freeze, answers may lie unread beside the timer. */
+/* After a long pass of the event loop, or a suspension of this VM, answers may be there unread when
+ * the timer fires. */
 static bool fired_late(const subrequest_t *sub, uint64_t now_us)
 {
 	return now_us > sub->hang_timer.at_us + LATE_TIMER_US;
 }
 
 /*
- * Whether its being late says something of its searcher. One that has served what was sent later
- * works: this request is long, or every other one hangs. A few long requests on another route made
- * all searchers of a shard look hung, one a second.
+ * Whether a late answer means that the searcher is at fault. A searcher that has answered a
+ * sub-request sent later works: this request takes long, or only some of its requests hang.
+ * Otherwise a few long requests on another route make all searchers of a shard look hung, one a
+ * second.
  */
 static bool implicates_searcher(const subrequest_t *sub)
 {
@@ -101,7 +103,7 @@
 		   sub->sending.sent_us + placement_hang_us(sub->searcher, sub->pool, now_us));
 }
 
-/* From here on its end may be the new one's doing. */
+/* From now on a crash of the searcher may be due to the new sub-request. */
 static void clear_isolated(searcher_t *searcher)
 {
 	for (const GList *item = searcher->out.head; item && searcher->probes; item = item->next) {
