--- a/src/core/route_state.c
+++ b/src/core/route_state.c
@@ -4,22 +4,26 @@
  */
 #include "core/route_state.h"
 
-/* Weight of one sub-request: a gather of 10 parts moves the share by two thirds. */
+/* Weight of one sub-request in the hang rate: a gather of 10 parts moves the rate by two thirds. */
 #define HANG_RATE_WEIGHT 0.1
-/* A lasting change of what a route's requests take is followed within a dozen of them. */
+/* The relative latency follows a lasting change within a dozen sub-requests. */
 #define RELATIVE_STEP 0.06
 #define RELATIVE_UNIT 1000
-/* Callers that come back have less time left than at first, some of them one after the other. */
+/* Callers that retry have less time left than at first, and several retries may come in a row. So a
+ * shorter wait moves the estimate by this share of the difference only; a longer wait replaces it.
+ */
 #define PATIENCE_DECAY 0.02
-/* Where a route begins: two answers in time, and it tells. */
+/* The hang rate of a new route: after two answers in time, its late sub-requests count against
+ * searchers. */
 #define HANG_RATE_INITIAL 0.5
-/* More searchers than that are not dark or slow at once, unless a data centre is lost. */
+/* A higher hang rate is the route's own: so many searchers do not fail to answer or slow down at
+ * once, unless a data centre is lost. */
 #define HANG_RATE_MAX 0.45
 
 /*
- * Routes with requests that last for longer than any pause, by their nature, exist beside others
- * that use the same searchers. Each such request would have its searcher avoided by all VMs that
- * are told, for a second and more.
+ * Routes whose requests by their nature take longer than any pause share searchers with other
+ * routes. Each such request would make all VMs that are notified avoid its searcher for a second or
+ * more.
  */
 bool route_state_implicates_searcher(const route_state_t *state)
 {
@@ -73,7 +77,8 @@
 	g_free(state);
 }
 
-/* The target furthest behind its share: exact over any stretch of requests. */
+/* Takes the target furthest behind its share, so that the shares are exact over any run of
+ * requests. */
 uint32_t route_state_choose_target(route_state_t *state, const GArray *targets, GRand *rand)
 {
 	GArray *credits = state->credits;
--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -1,7 +1,7 @@
 /**
  * @file routing.h
- * One version of the routes that operators accept: what a request may be forwarded to, and how long
- * that may take. Immutable and shared by reference count.
+ * One version of the routes that operators have accepted: which services a request is forwarded to,
+ * and its time limits. Immutable once sealed, and shared by reference count.
  */
 #ifndef DS_ROUTING_H
 #define DS_ROUTING_H
@@ -13,7 +13,8 @@
 /** One service that a route may use. */
 typedef struct route_target_t {
 	char *service;
-	double weight; /**< its share of the route's requests, relative to the others */
+	double weight; /**< its share of the route's requests, relative to the others
+			*/
 } route_target_t;
 
 typedef struct route_t {
@@ -21,25 +22,26 @@
 	char *host;   /**< without a port */
 	char *prefix; /**< of the path; begins and ends with a slash */
 	bool idempotent;
-	bool gathers;	       /**< asks all targets and merges; else asks one of them */
-	uint32_t rank;	       /**< 0 is served first */
-	uint32_t max_attempts; /**< searchers that may run one request, for each target */
-	uint64_t timeout_us;   /**< the longest that a caller is kept waiting */
-	uint64_t target_us;    /**< the time within which an answer is worth most */
-	uint32_t top;	       /**< gathers: records in the answer */
-	double min_coverage;   /**< gathers: share of the targets that makes a success */
+	bool gathers;	       /**< sends to all targets and merges; else sends to one of them
+				*/
+	uint32_t rank;	       /**< 0 is the most urgent and served first */
+	uint32_t max_attempts; /**< how many searchers of each target may run one request */
+	uint64_t timeout_us;   /**< the maximum time that a caller waits */
+	uint64_t target_us;    /**< target latency: an answer within this time is worth most */
+	uint32_t top;	       /**< gathers: maximum number of records in the answer */
+	double min_coverage;   /**< gathers: the share of answered targets that makes a success */
 	GArray *targets;       /**< route_target_t */
-	GPtrArray *regions;    /**< names; its requests stay in these. NULL: anywhere */
+	GPtrArray *regions; /**< names of the regions its requests must stay in; NULL: any region */
 } route_t;
 
-/** What a searcher of a service bears, from all VMs together. */
+/** What a searcher of a service can take from all VMs together. */
 typedef struct service_limits_t {
-	uint32_t connections; /**< 0: not known */
-	uint64_t cold_us;     /**< for so long after its start it is cold */
-	double cold_per_s; /**< requests a second that it bears while it is cold; 0: any number */
+	uint32_t connections; /**< 0: unknown */
+	uint64_t cold_us;     /**< how long a searcher is cold after its start */
+	double cold_per_s;    /**< maximum requests per second while it is cold; 0: no limit */
 } service_limits_t;
 
-/** What callers may send, and how long they may take. */
+/** Limits on the size of callers' requests, and on the time that callers may take. */
 typedef struct caller_limits_t {
 	uint32_t head_bytes;
 	uint32_t body_bytes;
@@ -54,37 +56,40 @@
 	GHashTable *services; /**< name to service_limits_t */
 	caller_limits_t limits;
 	GHashTable *by_host; /**< host to GPtrArray of route_t, longest prefix first */
-	GHashTable *singles; /**< services that some route asks alone; borrows its names */
+	GHashTable *singles; /**< services that some route sends to alone; the names are owned by
+				the routes */
 } routing_t;
 
 routing_t *routing_new(uint64_t version);
 routing_t *routing_ref(routing_t *routing);
 void routing_unref(routing_t *routing);
 
-/** A route to be filled in; it is the routing's from here on. */
+/** Add an empty route, to be filled in. The routing owns it. */
 route_t *routing_add(routing_t *routing);
 void route_add_target(route_t *route, const char *service, double weight);
-/** Bind the route to @p region, and to those named before; false when it is named once more. */
+/** Bind the route to @p region in addition to those added before. Returns false if it was added
+ * before. */
 bool route_add_region(route_t *route, const char *region);
-/** Whether the route's requests may be sent to @p region; NULL: one that is not known. */
+/** Whether the route's requests may be sent to @p region; NULL: an unknown region. */
 bool route_allows(const route_t *route, const char *region);
 void routing_set_service_limits(routing_t *routing, const char *service,
 				const service_limits_t *terms);
-/** Call once all routes are filled in. */
+/** Build the lookup tables. Call once, when all routes are filled in. */
 void routing_seal(routing_t *routing);
 
 /** Count the regions that routes are bound to and that are not among @p regions, a table of data
- * centre to region; the first of them and its route are set in @p route and @p region. */
+ * centre to region. Sets @p region to the first of them and @p route to its route. */
 uint32_t routing_unknown_regions(const routing_t *routing, GHashTable *regions,
 				 const route_t **route, const char **region);
 
-/** The route with the longest prefix of @p target's path for @p host, or NULL. */
+/** The route of @p host with the longest prefix that matches the path of @p target, or NULL. */
 const route_t *routing_match(const routing_t *routing, const char *host, const char *target);
-/** Whether some route asks @p service alone, and not as one of many shards. */
+/** Whether some route sends to @p service alone, and not to it as one of many shards. */
 bool routing_is_single(const routing_t *routing, const char *service);
-/** The least that a searcher of any service that is gathered takes; 0 if unknown. */
+/** The minimum, over the services that are gathered, of the connections that a searcher takes; 0:
+ * unknown. */
 uint32_t routing_min_gather_connections(const routing_t *routing);
-/** What a searcher of @p service bears; zeroes if unknown. */
+/** What a searcher of @p service can take; zeroes: unknown. */
 service_limits_t routing_service_limits(const routing_t *routing, const char *service);
 
 #endif
