--- a/src/core/sighting.c
+++ b/src/core/sighting.c
@@ -4,22 +4,26 @@
  */
 #include "core/sighting.h"
 
-/* Beyond what the routes of one service differ by, and well below what a slow searcher takes. */
+/* An answer is unexpected if it takes this many times the expected latency, or less than that
+ * fraction of it. Larger than the difference between routes of one service, and well below the
+ * factor of a slow searcher. */
 #define UNEXPECTED_FACTOR 2.5
-/* Weight of one sub-request in the share of odd ones: one gather of tens of parts moves most of it.
+/* Weight of one sub-request in the share of unexpected results: a gather of tens of parts moves
+ * most of it.
  */
 #define UNEXPECTED_WEIGHT 0.05
-/* A VM that is slow itself, or cut off, sees nearly all searchers slow or dark; told, that would
- * turn the others away from sound ones. */
+/* From this share of unexpected results on, a VM neither shares observations nor applies those of
+ * others. A VM that is slow itself, or cut off from the network, sees nearly all searchers as slow
+ * or silent; sharing that would turn the other VMs away from healthy searchers. */
 #define UNEXPECTED_SHARE_MAX 0.6
 /*
- * VMs that start together all connect at once, and wait for each other's handshakes of 6 ms. Told
- * as slowness, that turns them from the near searchers to the far ones, where they have to connect
- * as well, beyond what those take. So slowness counts only once a VM has its connections; by then
- * the searchers' own are back to the usual, too.
+ * VMs that start together all connect at once and wait for each other's handshakes of 6 ms. If they
+ * shared that as slowness, they would turn from the near searchers to the far ones, where they
+ * would have to connect as well, beyond the connections that those can take. So slowness counts
+ * only once a VM has its connections; by then the searchers are back to their usual latency, too.
  */
 #define STARTUP_SETTLE_US 6000000
-/* How long searchers pause. */
+/* How long a searcher's pause lasts. */
 #define SEARCHER_PAUSE_US 200000
 
 bool observation_is_unexpected(const searcher_t *searcher, double expected_us, uint64_t took_us,
@@ -48,7 +52,7 @@
 	       (settled || type == OBSERVATION_HUNG);
 }
 
-/* An answer to this VM that came after the other one had sent its sub-request. */
+/* Whether the searcher has answered this VM since the other VM sent its sub-request. */
 static bool answered_since(const searcher_t *searcher, uint64_t after_us, uint64_t now_us)
 {
 	return searcher->answered_us && now_us - searcher->answered_us < after_us;
@@ -59,7 +63,7 @@
 	searcher_t *searcher = registry_find(registry, observation->searcher);
 	uint64_t after_us = observation->after_us;
 
-	/* What was seen of an earlier start says nothing of this one. */
+	/* An observation of an earlier start of the searcher says nothing about this one. */
 	if (!searcher || searcher->born_ms != observation->born_ms)
 		return;
 	if (observation->type == OBSERVATION_ANSWERED)
--- a/src/core/yield.c
+++ b/src/core/yield.c
@@ -6,11 +6,12 @@
 
 #include <math.h>
 
-/* Weight of one sub-request: a dozen tell 60 % from none, within a second at 10 a second. */
+/* Weight of one sub-request. A dozen tell a failure rate of 60 % from none, which takes about a
+ * second at 10 a second. */
 #define SAMPLE_WEIGHT 0.15
-/* Half of what is known is forgotten after so long without news. Spells of refusals last 5 to 9 s,
- * and in one a searcher is asked again every few seconds; with 1.5 s those questions alone were a
- * third of what it was sent. */
+/* Half-life of the failure rate without new results. Periods of refusals last 5 to 9 s, and during
+ * one a searcher is tried again every few seconds. With a half-life of 1.5 s these tries alone were
+ * a third of the sub-requests that it was sent. */
 #define HALF_LIFE_US 4000000.0
 
 double failure_rate_now(const failure_rate_t *failure_rate, uint64_t now_us)
--- a/src/core/yield.h
+++ b/src/core/yield.h
@@ -1,12 +1,13 @@
 /**
  * @file yield.h
- * What share of the sub-requests that a searcher is sent comes to nothing there.
+ * The failure rate of a searcher: the share of its sub-requests that it refuses, fails or loses.
  *
- * A searcher may look healthy and still refuse a share of what it is sent, fail it, or lose its
- * answer. One of these says little, so the latest ones are counted, and the count fades when no
- * more is sent: the way back. Where two searchers of three fail 40 %, 91 % of the requests were
- * served in time while a failure only had its searcher avoided for a moment, and 99 % so (make
- * loads, errors).
+ * A searcher may look healthy and still refuse or fail a share of its sub-requests, or lose their
+ * answers. A single failure says little, so this is an exponential moving average over the latest
+ * sub-requests. It decays over time, so that a searcher that gets no more sub-requests is tried
+ * again. Where two searchers of three fail 40 % of their requests, 91 % of the callers' requests
+ * were served in time when a failure only made its searcher avoided for a moment, and 99 % with the
+ * failure rate (make loads, errors).
  */
 #ifndef DS_YIELD_H
 #define DS_YIELD_H
@@ -14,15 +15,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Zeroed: nothing is known, and nothing is taken to be lost. */
+/** Zeroed: nothing is known; the rate is taken as 0. */
 typedef struct failure_rate_t {
-	double rate; /**< share, when last noted */
+	double rate; /**< failure rate at updated_us, 0 to 1 */
 	uint64_t updated_us;
 } failure_rate_t;
 
-/** A sub-request was answered, or came to nothing. */
+/** Record that a sub-request was answered, or has @p failed. */
 void failure_rate_note(failure_rate_t *failure_rate, bool failed, uint64_t now_us);
-/** The share that is lost of late, 0 to 1. */
+/** The decayed failure rate at @p now_us, 0 to 1. */
 double failure_rate_now(const failure_rate_t *failure_rate, uint64_t now_us);
 
 #endif
