--- a/src/core/cold_share.c
+++ b/src/core/cold_share.c
@@ -8,14 +8,15 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A list holds all VMs that had registered so long before it was asked for: a read that may be old
- * is some seconds old. */
+/* A list names all VMs that had registered this long before it was requested: a read from the store
+ * may be some seconds stale. */
 #define LIST_STALENESS_US 10000000
-/* Lists are read every 12 s; one that could not be read is not relied on for long. */
+/* Lists are read every 12 s. If reading fails, the last list is relied on for this long only. */
 #define LIST_VALID_US 15000000
-/* Shares are worked out anew every few seconds: for so long one may be used past its time. */
+/* Shares are recomputed every few seconds; a share may still be in use this long after it has
+ * expired. */
 #define SHARE_REFRESH_US 5000000
-/* By then every VM whose list is trusted has this one in it. */
+/* After this time, every VM that relies on its list has this VM in it. */
 #define MEMBER_MIN_US (LIST_STALENESS_US + LIST_VALID_US + SHARE_REFRESH_US)
 
 bool cold_share_is_trusted(const cold_members_t *members, uint64_t now_us)
@@ -26,8 +27,8 @@
 	       now_us < members->listed_us + LIST_VALID_US;
 }
 
-/* VMs within a factor of two are alike. By what each is, and not by how it compares: a VM that is
- * added must not change the order of the others. */
+/* VMs within a factor of two in speed are in one class. The class depends on the VM alone, not on a
+ * comparison with others: adding a VM must not change the order of the others. */
 static int speed_class_of(const vm_t *vm)
 {
 	return -(int)floor(log2(MAX(vm_part_us(vm), 1)));
@@ -43,7 +44,7 @@
 	return (uint32_t)CLAMP(bound->per_s, 1, G_MAXINT32);
 }
 
-/* Whether fewer than @p max go before this VM. */
+/* Whether fewer than @p max VMs come before this one. */
 static bool is_among_first(const cold_members_t *members, const vm_t *own,
 			   const cold_limit_t *bound, const char *id, uint32_t max)
 {
--- a/src/core/cold_share.h
+++ b/src/core/cold_share.h
@@ -1,49 +1,51 @@
 /**
  * @file cold_share.h
- * How much of what a cold searcher bears this VM may send it.
+ * This VM's share of the requests that a cold searcher can take.
  *
- * A searcher that has just started, or was left alone for a while, bears few requests a second, and
- * crashes when all VMs turn to it at once; back again, it is cold again. No VM sees what the others
- * send. So each works out its part alone, and all of them alike: the VMs registered stand in an
- * order that each searcher shuffles anew, and either each may send so many, or only the first of
- * them may send one.
+ * A searcher that has just started, or was unused for a while, can take only few requests a second.
+ * It crashes when all VMs send to it at once, and after the restart it is cold again. No VM sees
+ * what the others send. So each VM computes its share on its own, all by the same rule: the
+ * registered VMs are put in an order that is shuffled for each searcher. Either each VM may send a
+ * number of requests, or only the first VMs in that order may send one each.
  *
- * The sum holds whatever list each VM has read, for two reasons. A VM counts only once all others
- * must have read a list that names it, and one whose list is old sends nothing: so whoever sends
- * has all VMs that count in its list. And VMs are only ever added to a list, which moves the others
- * back in the order, never forward.
+ * The sum of all shares stays within the limit whichever list each VM has read, for two reasons.
+ * First, a VM has a share only once all others must have read a list that names it, and a VM whose
+ * list is old sends nothing. So every VM that sends has all VMs with a share in its list. Second,
+ * VMs are only ever added to a list, which moves the other VMs back in the order, never forward.
  */
 #ifndef DS_COLD_SHARE_H
 #define DS_COLD_SHARE_H
 
 #include "core/vm.h"
 
-/** In any time of this length a cold searcher is sent what it bears in a second. Longer than that:
- * a sub-request may wait for its connection before it is sent. */
+/** In any window of this length a cold searcher is sent at most what it can take in one second. The
+ * window is longer than a second because a sub-request may wait for its connection before it is
+ * sent. */
 #define COLD_WINDOW_US 1400000
 
-/** What a VM knows of the others. */
+/** What a VM knows of the other VMs. */
 typedef struct cold_members_t {
-	const GPtrArray *vms; /**< vm_t, all that were ever listed */
+	const GPtrArray *vms; /**< vm_t, all VMs that were ever listed */
 	const char *own_name;
-	uint64_t member_us; /**< since when this process was in a list; 0: it is in none yet */
-	uint64_t listed_us; /**< when the last list was asked for; 0: never */
+	uint64_t member_us; /**< since when this process has been in a list; 0: not yet in any */
+	uint64_t listed_us; /**< when the latest list was requested; 0: never */
 } cold_members_t;
 
-/** What a searcher bears while it is cold. */
+/** What a searcher can take while it is cold. */
 typedef struct cold_limit_t {
-	double per_s;  /**< 0: any number */
-	bool gathered; /**< its service is one of many shards: VMs that gather come first */
+	double per_s;  /**< requests per second; 0: no limit */
+	bool gathered; /**< its service is one of many shards: faster VMs, which gather, come first
+			*/
 } cold_limit_t;
 
-/** Whether what is known of the other VMs is enough to send a cold searcher anything. */
+/** Whether this VM knows enough of the other VMs to send anything to a cold searcher. */
 bool cold_share_is_trusted(const cold_members_t *members, uint64_t now_us);
 /**
- * Sub-requests that this VM may send the searcher @p id in each window.
+ * The number of sub-requests that this VM may send to the searcher @p id in each window.
  * @return 0 for none
  */
 uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *bound, const char *id);
-/** The window for @p bound: longer where less than one request a second is borne. */
+/** The window for @p bound: longer where the limit is less than one request a second. */
 uint64_t cold_share_window_us(const cold_limit_t *bound);
 
 #endif
--- a/src/core/connection_share.c
+++ b/src/core/connection_share.c
@@ -9,13 +9,15 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Left free of a searcher's connections: VMs that start before others have closed theirs, and a
- * searcher that takes fewer while its queue is long. */
+/* The VMs share out only this part of a searcher's connections. The rest is for VMs that start
+ * before others have closed their connections, and for searchers that accept fewer while their
+ * queue is long. */
 #define CONNECTIONS_USED_SHARE 0.9
-/* One to work on and one for a second request; with less for each VM, not every VM may hold any. */
+/* One connection for a request and one for a second request. If there are fewer for each VM, not
+ * every VM may hold connections to every searcher. */
 #define MIN_CONNECTIONS_EACH 2
 
-/* VMs that were added a moment ago are not in the list yet. */
+/* Added to the count: VMs that were added a moment ago are not in the list yet. */
 #define UNLISTED_VMS 1
 
 void vm_counts_set(vm_counts_t *counts, const GPtrArray *vms)
@@ -60,7 +62,7 @@
 		     XXH64(vms->own_name, strlen(vms->own_name), 0));
 }
 
-/* The usable searcher elsewhere that this VM's name ranks first. */
+/* The usable searcher in another region that ranks first for this VM's name. */
 static const searcher_t *backup_of(const pool_t *pool, const vm_counts_t *vms)
 {
 	const searcher_t *best = NULL;
@@ -76,7 +78,8 @@
 	return best;
 }
 
-/* VMs of its region hold it, and of the others one in as many as there are searchers elsewhere. */
+/* The number of VMs that hold connections to @p searcher: all VMs of its region, and one of every n
+ * other VMs, where n is the number of searchers outside its region. */
 static uint32_t holders_of(const pool_t *pool, const searcher_t *searcher, const vm_counts_t *vms)
 {
 	uint32_t near = vms_in(vms, searcher->data_centre), elsewhere = 0;
@@ -105,8 +108,9 @@
 }
 
 /*
- * Before the store has listed the VMs each takes one connection, whatever their number: assumed too
- * few, many that start together would take several times what a searcher has.
+ * Until the store has listed the VMs, each VM takes one connection. If it assumed too small a
+ * number of VMs, many VMs that start together would take several times the connections that a
+ * searcher has.
  */
 void connection_share_set(pool_t *pool, uint32_t connections, const vm_counts_t *vms)
 {
--- a/src/core/sharing.c
+++ b/src/core/sharing.c
@@ -4,11 +4,11 @@
  */
 #include "core/sharing.h"
 
-/* Of the constant part of the bound on retries: requests for one service that reach a searcher of
- * another one count there, too. */
+/* The VMs share out only this part of the constant of the retry bound: requests for one service
+ * that reach a searcher of another service count there, too. */
 #define CONSTANT_USED_SHARE 0.8
-/* Of the connections and of the constant: for VMs that gather. The rest is for those that gather
- * for themselves because they reach no gatherer. */
+/* The part of the connections and of the constant that the gatherers share. The rest is for VMs
+ * that gather for themselves because they reach no gatherer. */
 #define GATHERERS_SHARE 0.75
 
 static sharers_t sharers_of(const fleet_t *fleet, const GPtrArray *vms, const char *own_name)
@@ -17,7 +17,7 @@
 			     .fraction = 1};
 
 	vm_counts_set(&sharers.counts, vms);
-	/* Of all VMs it is one before it is listed, too. */
+	/* If these are all VMs, this VM is one of them even before it is listed. */
 	sharers.is_member = vms->len == fleet->vms->len || vm_find(vms, own_name);
 	return sharers;
 }
--- a/src/core/sharing.h
+++ b/src/core/sharing.h
@@ -1,10 +1,11 @@
 /**
  * @file sharing.h
- * What this VM may take of that which VMs share: connections to searchers, and the constant part of
- * the bound on retries.
+ * This VM's share of the resources that all VMs share: connections to searchers, and the constant
+ * part of the retry bound.
  *
- * Services that some route asks alone are shared by all VMs, those that are gathered by the VMs
- * that gather. VMs that reach no gatherer gather for themselves, and have a small part for that.
+ * Services that some route sends to alone are shared by all VMs; services that are gathered are
+ * shared by the VMs that gather. A VM that reaches no gatherer gathers for itself, and a small part
+ * is reserved for such VMs.
  */
 #ifndef DS_SHARING_H
 #define DS_SHARING_H
@@ -13,35 +14,36 @@
 #include "core/gatherer_choice.h"
 #include "core/routing.h"
 
-/** Who shares a service with this VM. */
+/** The VMs that share a service, and their part of it. */
 typedef struct sharers_t {
 	vm_counts_t counts;
-	double fraction; /**< of the whole, that is theirs */
-	bool is_member; /**< this VM is one of those that hold connections before they are needed */
+	double fraction; /**< their part of the whole */
+	bool is_member; /**< this VM is one of them, and opens connections before they are needed */
 } sharers_t;
 
 typedef struct sharing_t {
-	sharers_t all;		/**< of services that are asked alone */
-	sharers_t gatherers;	/**< of services that are gathered, or that no route names yet */
-	double constant;	/**< of the bound on retries, for all VMs */
-	uint32_t fleet_version; /**< changes with what is known of the VMs */
-	bool list_current; /**< what is known of the VMs is enough to send cold searchers anything
+	sharers_t all;		/**< for services that some route sends to alone */
+	sharers_t gatherers;	/**< for services that are gathered, or that no route names yet */
+	double constant;	/**< constant part of the retry bound, for all VMs together */
+	uint32_t fleet_version; /**< changes whenever the known VMs change, or list_current does */
+	bool list_current; /**< the list of VMs is recent enough to send anything to cold searchers
 			    */
 } sharing_t;
 
-/** @param constant of the bound on retries that the deployment gives */
+/** @param constant constant part of the deployment's retry bound */
 void sharing_update(sharing_t *sharing, const fleet_t *fleet, const char *own_name,
 		    uint32_t constant);
 void sharing_clear(sharing_t *sharing);
 /**
- * Set this VM's share of @p pool; true when connections to it are to be made ahead.
- * @param routing NULL before any is known
+ * Set this VM's share of @p pool. Returns true if connections to its searchers should be opened
+ * ahead of need.
+ * @param routing NULL: none is known yet
  */
 bool sharing_apply(const sharing_t *sharing, pool_t *pool, const routing_t *routing);
-/** What is known of the VMs has changed, or has become old. */
+/** Update fleet_version and list_current; @p changed: the known VMs have changed. */
 void sharing_update_members(sharing_t *sharing, const cold_members_t *members, bool changed,
 			    uint64_t now_us);
-/** Set what this VM may send those searchers of @p pool that are cold. */
+/** Set this VM's share of each cold searcher of @p pool. */
 void sharing_apply_cold(const sharing_t *sharing, const cold_members_t *members, pool_t *pool,
 			uint64_t now_us);
 
