--- a/src/core/evacuation.c
+++ b/src/core/evacuation.c
@@ -4,21 +4,21 @@
  */
 #include "core/evacuation.h"
 
-/* Operators write again what a restored store has lost; to go without a data centre for some
- * seconds more does less harm than to send work to one that is about to lose its power. */
+/* Grace period in which operators rewrite evacuations that a restored store has lost. Not using a
+ * data centre for some seconds more does less harm than sending work to one that is about to lose
+ * power. */
 #define RESTORE_GRACE_US 5000000
 
 typedef struct entry_t {
-	bool listed;  /* in the list that is being taken in */
-	bool missing; /* in the last list, which a restored store gave */
+	bool listed;  /* in the list that is being read */
+	bool missing; /* not in the last list; kept while a restored store may lack it */
 } entry_t;
 
 struct evacuations_t {
 	const evacuations_ops_t *ops;
 	void *ctx;
-	GHashTable *entries; /* data centre to entry_t */
-	uint64_t
-		restore_grace_end_us; /* when all that a restored store has lost is written again */
+	GHashTable *entries;	       /* data centre to entry_t */
+	uint64_t restore_grace_end_us; /* end of the grace period after a restore of the store */
 };
 
 evacuations_t *evacuations_new(const evacuations_ops_t *ops, void *ctx)
@@ -54,7 +54,7 @@
 
 void evacuations_remove(evacuations_t *evacuations, const char *data_centre)
 {
-	g_autofree char *name = g_strdup(data_centre); /* it may be the table's own */
+	g_autofree char *name = g_strdup(data_centre); /* the table may own the argument */
 
 	if (g_hash_table_remove(evacuations->entries, name))
 		evacuations->ops->changed(evacuations->ctx, name, false);
--- a/src/core/evacuation.h
+++ b/src/core/evacuation.h
@@ -1,11 +1,11 @@
 /**
  * @file evacuation.h
- * Data centres that operators have evacuated: nothing new goes to their searchers, until they are
- * taken back.
+ * Data centres that operators have evacuated: nothing new is sent to their searchers until the data
+ * centre is reopened.
  *
- * The list is taken in whole, then kept up by events. A store that comes back from a copy may have
- * lost an evacuation that its operator is about to write again: one that is missing then counts for
- * some time more.
+ * The list is read in full, then updated by events. A store that is restored from a backup copy may
+ * lack an evacuation that its operator is about to write again. So after a restore, a missing
+ * evacuation stays in force for a grace period.
  */
 #ifndef DS_EVACUATION_H
 #define DS_EVACUATION_H
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 typedef struct evacuations_ops_t {
-	/** @p data_centre is evacuated, or taken back. */
+	/** @p data_centre is evacuated, or reopened. */
 	void (*changed)(void *ctx, const char *data_centre, bool evacuated);
 } evacuations_ops_t;
 
@@ -23,16 +23,18 @@
 
 evacuations_t *evacuations_new(const evacuations_ops_t *ops, void *ctx);
 void evacuations_free(evacuations_t *evacuations);
-/** A whole list begins; evacuations_put() for each follows, then evacuations_list_end(). */
+/** Begin a complete list; call evacuations_put() for each entry, then evacuations_list_end(). */
 void evacuations_list_begin(evacuations_t *evacuations);
 void evacuations_put(evacuations_t *evacuations, const char *data_centre);
 void evacuations_list_end(evacuations_t *evacuations, uint64_t now_us);
-/** The operator has taken @p data_centre back. */
+/** The operator has reopened @p data_centre. */
 void evacuations_remove(evacuations_t *evacuations, const char *data_centre);
-/** The store came back from a copy: what is missing in its lists may be written again. */
+/** The store was restored from a backup copy: evacuations that its lists lack may be written again.
+ */
 void evacuations_store_restored(evacuations_t *evacuations, uint64_t now_us);
 uint32_t evacuations_count(const evacuations_t *evacuations);
-/** Take back those whose time has come; returns when to call again, or UINT64_MAX. */
+/** Reopen data centres whose missing evacuation is past the grace period. Returns when to call
+ * again, or UINT64_MAX. */
 uint64_t evacuations_run(evacuations_t *evacuations, uint64_t now_us);
 
 #endif
