--- a/src/core/top_records.c
+++ b/src/core/top_records.c
@@ -1,13 +1,14 @@
 /**
  * @file top_records.c
- * See top_records.h. A heap with the least kept record on top: most records of a large body are
- * dismissed by one comparison.
+ * See top_records.h. A min-heap of the kept records: most records of a large body are rejected by
+ * one comparison with its root.
  */
 #include "core/top_records.h"
 
 #include <string.h>
 
-/* Bytes in order as two numbers, so that comparing them compares the bytes. */
+/* A record's bytes, read as two big-endian numbers, so that comparing the numbers compares the
+ * bytes. */
 typedef struct record_t {
 	uint64_t high, low;
 } record_t;
--- a/src/core/top_records.h
+++ b/src/core/top_records.h
@@ -1,6 +1,6 @@
 /**
  * @file top_records.h
- * Merges bodies of fixed-size records into the greatest of them, in falling byte order.
+ * Merges bodies of fixed-size records and keeps the greatest records, in descending byte order.
  */
 #ifndef DS_TOP_RECORDS_H
 #define DS_TOP_RECORDS_H
@@ -13,12 +13,12 @@
 
 typedef struct top_records_t top_records_t;
 
-/** Keep the @p max greatest records; equal ones are all kept. */
+/** Keep the @p max greatest records. Equal records are kept as separate ones. */
 top_records_t *top_records_new(uint32_t max);
 void top_records_free(top_records_t *top);
-/** Take in a body; a remainder shorter than a record is dropped. */
+/** Add the records of a body; a remainder shorter than a record is ignored. */
 void top_records_add(top_records_t *top, const char *body, size_t bytes);
-/** Append what is kept to @p out, greatest first. Nothing is kept afterwards. */
+/** Append the kept records to @p out, greatest first, and keep none. */
 void top_records_take(top_records_t *top, GString *out);
 
 #endif
