--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -270,7 +270,7 @@
 	handovers_run(play->all, play->now_us);
 }
 
-static const playbook_command_t commands[] = {
+static const script_command_t commands[] = {
 	{"gatherers", do_gatherers}, {"there", do_there},
 	{"request", do_request},     {"taken", do_taken},
 	{"refuses", do_refuses},     {"answer", do_answer},
@@ -281,11 +281,11 @@
 
 int main(void)
 {
-	const playbook_ops_t ops = {.folder = SCRIPTS,
-				    .start = play_new,
-				    .end = play_free,
-				    .commands = commands,
-				    .command_count = G_N_ELEMENTS(commands)};
+	const script_runner_ops_t ops = {.folder = SCRIPTS,
+					 .start = play_new,
+					 .end = play_free,
+					 .commands = commands,
+					 .command_count = G_N_ELEMENTS(commands)};
 
-	return playbook_run("handover", &ops);
+	return script_runner_run("handover", &ops);
 }
--- a/tests/playbook.c
+++ b/tests/playbook.c
@@ -9,26 +9,26 @@
 
 #include "playbook.h"
 
-static const playbook_ops_t *playing;
+static const script_runner_ops_t *runner_ops;
 
-static void run_line(void *play, const char *line)
+static void run_line(void *fixture, const char *line)
 {
 	g_auto(GStrv) words = g_strsplit(line, " ", 0);
 
-	for (size_t i = 0; i < playing->command_count; i++) {
-		if (!g_str_equal(playing->commands[i].name, words[0]))
+	for (size_t i = 0; i < runner_ops->command_count; i++) {
+		if (!g_str_equal(runner_ops->commands[i].name, words[0]))
 			continue;
-		playing->commands[i].run(play, words);
+		runner_ops->commands[i].run(fixture, words);
 		return;
 	}
 	fail_msg("unknown command: %s", line);
 }
 
-/* What the script would be with the lines that were really printed. */
-static char *play_script(char **lines)
+/* Returns the script with the lines that were actually printed. */
+static char *run_script(char **lines)
 {
 	GString *out = g_string_new(NULL);
-	void *play = playing->start(out);
+	void *fixture = runner_ops->start(out);
 
 	for (char **line = lines; *line; line++) {
 		if (g_str_has_prefix(*line, "> "))
@@ -37,9 +37,9 @@
 		if (line[1])
 			g_string_append_c(out, '\n');
 		if (**line && **line != '#')
-			run_line(play, *line);
+			run_line(fixture, *line);
 	}
-	playing->end(play);
+	runner_ops->end(fixture);
 	return g_string_free(out, FALSE);
 }
 
@@ -52,21 +52,21 @@
 
 	assert_true(g_file_get_contents(path, &text, NULL, NULL));
 	lines = g_strsplit(text, "\n", 0);
-	got = play_script(lines);
+	got = run_script(lines);
 	if (g_getenv("WRITE_SCRIPTS"))
 		g_file_set_contents(path, got, -1, NULL);
 	else
 		assert_string_equal(got, text);
 }
 
-int playbook_run(const char *group, const playbook_ops_t *ops)
+int script_runner_run(const char *group, const script_runner_ops_t *ops)
 {
 	GArray *tests = g_array_new(FALSE, TRUE, sizeof(struct CMUnitTest));
 	GDir *dir = g_dir_open(ops->folder, 0, NULL);
 	const char *name;
 	int failed;
 
-	playing = ops;
+	runner_ops = ops;
 	while (dir && (name = g_dir_read_name(dir))) {
 		struct CMUnitTest test = {.name = g_strdup(name),
 					  .test_func = test_script,
--- a/tests/playbook.h
+++ b/tests/playbook.h
@@ -1,8 +1,9 @@
 /**
  * @file playbook.h
- * Plays scripts of commands, and compares what they print with what stands in them after "> ".
+ * Runs scripts of commands and compares their output with the expected lines, which begin with ">
+ * ".
  *
- * WRITE_SCRIPTS=1 in the environment writes what was printed into the scripts instead.
+ * With WRITE_SCRIPTS=1 in the environment, the output is written into the scripts instead.
  */
 #ifndef DS_TESTS_PLAYBOOK_H
 #define DS_TESTS_PLAYBOOK_H
@@ -10,21 +11,21 @@
 #include <glib.h>
 
 /** One command of a script; words[0] is its name. */
-typedef struct playbook_command_t {
+typedef struct script_command_t {
 	const char *name;
-	void (*run)(void *play, char **words);
-} playbook_command_t;
+	void (*run)(void *fixture, char **words);
+} script_command_t;
 
-typedef struct playbook_ops_t {
-	const char *folder; /**< where the scripts are */
-	/** A fresh play that prints to @p out. */
+typedef struct script_runner_ops_t {
+	const char *folder; /**< directory of the scripts */
+	/** Create the state of a run, which prints to @p out. */
 	void *(*start)(GString *out);
-	void (*end)(void *play);
-	const playbook_command_t *commands;
+	void (*end)(void *fixture);
+	const script_command_t *commands;
 	size_t command_count;
-} playbook_ops_t;
+} script_runner_ops_t;
 
-/** Play all scripts; returns how many failed. */
-int playbook_run(const char *group, const playbook_ops_t *ops);
+/** Run all scripts. Returns how many failed. */
+int script_runner_run(const char *group, const script_runner_ops_t *ops);
 
 #endif
