--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -1,6 +1,7 @@
 /**
  * @file parts_test.c
- * The small parts of forwarding, each by itself: merge, budget, shares, feeds.
+ * Unit tests of small modules: merging records, retry budget, connection shares, placement,
+ * evacuations, feeds, retry delays, fingerprints.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -26,12 +27,12 @@
 
 #define SECOND_US 1000000ull
 
-static gint falling(gconstpointer a, gconstpointer b)
+static gint descending(gconstpointer a, gconstpointer b)
 {
 	return memcmp(b, a, RECORD_BYTES);
 }
 
-/* Against a plain sort, with many equal records and bytes above 127. */
+/* Compares with a plain sort, with many equal records and bytes above 127. */
 static void test_top_records(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(7);
@@ -51,7 +52,7 @@
 		top_records_add(top, all + (gsize)(count / 2) * RECORD_BYTES,
 				(gsize)(count - count / 2) * RECORD_BYTES);
 		top_records_take(top, out);
-		qsort(all, count, RECORD_BYTES, falling);
+		qsort(all, count, RECORD_BYTES, descending);
 		assert_int_equal(out->len, MIN(count, most) * RECORD_BYTES);
 		assert_memory_equal(out->str, all, out->len);
 		top_records_free(top);
@@ -60,8 +61,8 @@
 	g_rand_free(rand);
 }
 
-/* In no window of ten seconds are there more extra requests than the bound allows, however they and
- * the requests fall. */
+/* No window of ten seconds has more extra requests than the bound allows, however they and the
+ * requests are distributed. */
 static void test_retry_budget(void **state)
 {
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = 10 * SECOND_US, .constant = 3};
@@ -87,7 +88,8 @@
 
 		for (int i = start; i < start + 100; i++)
 			extra += extras[i];
-		/* The bound counts the window, the one before, or the one half a window before. */
+		/* The bound counts the requests of this window, of the one before, or of the one
+		 * half a window before. */
 		for (int back = 0; back <= 100; back += 50) {
 			uint32_t sum = 0;
 
@@ -101,7 +103,7 @@
 	g_rand_free(rand);
 }
 
-static void test_budget_for_speed(void **state)
+static void test_budget_for_hedges(void **state)
 {
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = 10 * SECOND_US, .constant = 10};
 	retry_budget_t budget;
@@ -163,8 +165,8 @@
 	g_hash_table_unref(site->regions);
 }
 
-/* Ninety VMs and 77 connections a searcher: held by its region and half as many others, no searcher
- * is promised more than it takes. */
+/* Ninety VMs and 77 connections per searcher. The VMs of its region and half as many others hold
+ * connections to a searcher, and their shares add up to no more than it accepts. */
 static void test_shares_of_many(void **state)
 {
 	static const char *const centres[] = {"a", "b", "c", "d", "e", "f"};
@@ -220,7 +222,8 @@
 	site_end(&site);
 }
 
-/* Local first; elsewhere once the local one is slow, and back when that is long ago. */
+/* The local searcher is chosen first, another one once the local one is slow, and the local one
+ * again when that is long ago. */
 static void test_placement(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(1);
@@ -254,10 +257,11 @@
 /* ---- evacuations ---- */
 
 /*
- * Work reaches a data centre that is being emptied: the connection on which a VM waits for
- * evacuations went silent, and the operator wrote right behind that. The VM counts again once its
- * settle time is over, and the evacuation is due when both that and its own time are; by then the
- * watch must have been in vain, the list been read, and subscribers been told.
+ * Failure: work is sent to an evacuated data centre. The connection on which a VM watches
+ * evacuations went silent, and the operator wrote the evacuation right after that. The evacuation
+ * must be known when both the VM's settle time and the evacuation's own time limit are over. By
+ * then the watch must have timed out, the list been read, and the change been sent to the
+ * subscribers.
  */
 static void test_evacuation_watch(void **state)
 {
@@ -288,10 +292,10 @@
 }
 
 /*
- * Work goes on reaching a data centre that is being emptied: the store came back from a copy that
- * does not hold the evacuation, and the list says that there is none. Its operator writes it again
- * some seconds later. So one that is missing then counts for as long; one that is taken back by its
- * operator does not.
+ * Failure: work is still sent to an evacuated data centre. The store was restored from a backup
+ * copy that lacks the evacuation, so its list has none, until the operator writes it again some
+ * seconds later. So an evacuation that is missing after a restore stays in force for that long; one
+ * that its operator removes does not.
  */
 static void test_evacuations(void **state)
 {
@@ -340,12 +344,10 @@
 	return vms;
 }
 
-/* Small data centres need no feed; in large ones a few watch, all VMs agree on who, and the
- * subscribers spread over them. */
 /*
- * One data centre of a region loses its power. If both VMs that watch the store for the region were
- * in it, all others would turn to the store at once, 50 of them here; so the watchers are spread
- * over the data centres, and a VM hears one of its own first.
+ * One data centre of a region loses power. If both VMs that watch the store for the region were in
+ * it, all others, 50 of them here, would turn to the store at once. So the feeders are spread over
+ * the data centres, and a VM prefers a feeder in its own data centre.
  */
 static void test_feed_of_region(void **state)
 {
@@ -379,6 +381,8 @@
 	g_ptr_array_unref(vms);
 }
 
+/* Small data centres need no feed. In large ones a few VMs watch the store, all VMs choose the same
+ * feeders, and the subscribers spread over them. */
 static void test_feed_choice(void **state)
 {
 	GPtrArray *few = vms_new(4), *many = vms_new(100);
@@ -418,8 +422,8 @@
 }
 
 /*
- * A configuration of 30 KB is told to 16 VMs over a large link. Over a small one it would hold up
- * the feeder's requests for 0.3 s, and one of 550 KB those of its subscribers: both are announced.
+ * A configuration of 30 KB is sent to 16 VMs over a fast link. Over a slow link it would delay the
+ * feeder's requests by 0.3 s, and one of 550 KB those of its subscribers: both are only announced.
  */
 static void test_feed_sizes(void **state)
 {
@@ -433,12 +437,12 @@
 }
 
 /*
- * The store is down. VMs that hear it from another one must not all turn to it: they rely on what
- * that one knows, however old, while their own looks at the store fail, and look often enough to
- * read a change in time. One that was not relied on yet is left at once, as is one whose news are
- * old though it says that it hears the store.
+ * The store is down. VMs that are subscribed to a feeder must not all turn to the store: they rely
+ * on the feeder's data, however old, while their own store checks fail, and check often enough to
+ * read a change in time. A feeder that is not in use yet is dropped at once, as is one whose data
+ * is old although it says that it reaches the store.
  */
-static void test_feed_judged(void **state)
+static void test_feed_verdict(void **state)
 {
 	const feed_timing_t timing = feed_timing_for(6000, 8000, 0);
 
@@ -459,14 +463,15 @@
 	}
 }
 
-/* ---- following the store ---- */
+/* ---- list and watch of the store ---- */
 
 /*
- * Callers are served by an old configuration until the next change. A VM that watched the store
- * takes a feed; the feeder announces a configuration too large to be told, and then says that the
- * VM knows all. The VM stops watching; the read that the announcement asked for must still come.
+ * Failure: callers are served by an old configuration until the next change. A VM that watched the
+ * store subscribes to a feeder. The feeder announces a configuration that is too large to be sent,
+ * and then reports that the VM is up to date. The VM stops watching; it must still do the read that
+ * the announcement asked for.
  */
-static void test_announced_before_the_feed_is_taken(void **state)
+static void test_announced_before_the_feed_is_used(void **state)
 {
 	follow_t follow = {0};
 
@@ -482,9 +487,9 @@
 }
 
 /*
- * Callers are served by an old configuration. A VM that watches the store reads it once more for an
- * announcement, and the feeder is gone before its feed is taken: nobody tells of changes unless the
- * VM goes on watching.
+ * Failure: callers are served by an old configuration. A VM that watches the store reads it once
+ * more because of an announcement, and the feeder is gone before the feed is in use: the VM learns
+ * of no change unless it continues to watch.
  */
 static void test_announced_by_a_feed_that_ends(void **state)
 {
@@ -499,7 +504,7 @@
 	assert_int_equal(follow_next(&follow), FOLLOW_WATCH);
 }
 
-static void test_follow_ends(void **state)
+static void test_list_watch_stop(void **state)
 {
 	follow_t follow = {0};
 
@@ -516,8 +521,8 @@
 	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
 }
 
-/* A reply that was on its way while the store came back from a copy says what is gone: believed, a
- * VM would go on by revisions that mean something else now. */
+/* A reply that was on its way while the store was restored from a backup copy is outdated: if it
+ * were applied, the VM would go on with revisions that mean something else now. */
 static void test_store_era(void **state)
 {
 	store_era_t era = {0};
@@ -531,13 +536,13 @@
 	assert_int_equal(era.number, 4);
 }
 
-static void write_down(void *ctx, const feed_message_t *message)
+static void append_message(void *ctx, const feed_message_t *message)
 {
 	g_string_append_printf(ctx, "%d %u %s %s %" G_GUINT64_FORMAT ";", message->type,
 			       message->kind, message->name, message->text, message->era);
 }
 
-/* What a subscriber reads is what was told, however the bytes arrive; garbage is found out. */
+/* A subscriber reads what was sent, however the bytes are split; invalid data is detected. */
 static void test_feed(void **state)
 {
 	feed_book_t *book = feed_book_new(1);
@@ -559,19 +564,19 @@
 	feed_book_write(book, bytes);
 	for (guint have = 0; have <= bytes->len; have++) {
 		framing_t got =
-			feed_message_read(bytes->data + at, have - at, &used, write_down, read);
+			feed_message_read(bytes->data + at, have - at, &used, append_message, read);
 
 		assert_int_not_equal(got, FRAMING_BAD);
 		if (got == FRAMING_ONE)
 			at += used;
 	}
 	assert_string_equal(read->str, "0 1   2;1 1 b y 2;4 1   2;");
-	assert_int_equal(
-		feed_message_read((const uint8_t *)"\xff\xff\xff\xff", 4, &used, write_down, read),
-		FRAMING_BAD);
-	assert_int_equal(
-		feed_message_read((const uint8_t *)"\0\0\0\2\x92\x01", 6, &used, write_down, read),
-		FRAMING_BAD);
+	assert_int_equal(feed_message_read((const uint8_t *)"\xff\xff\xff\xff", 4, &used,
+					   append_message, read),
+			 FRAMING_BAD);
+	assert_int_equal(feed_message_read((const uint8_t *)"\0\0\0\2\x92\x01", 6, &used,
+					   append_message, read),
+			 FRAMING_BAD);
 	feed_book_clear(book);
 	assert_false(feed_book_is_known(book));
 	feed_book_free(book);
@@ -579,9 +584,9 @@
 	g_string_free(read, TRUE);
 }
 
-/* A VM that can't read an announced object from the store asks for it: its feeder must have kept
- * it. */
-static void test_announced_object_is_not_kept(void **state)
+/* A VM that can't read an announced object from the store requests it from its feeder, which must
+ * have kept it. */
+static void test_announced_object_is_kept(void **state)
 {
 	feed_book_t *book = feed_book_new(1);
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
@@ -598,7 +603,7 @@
 	feed_book_write(book, bytes);
 	for (size_t at = 0, used = 0; at < bytes->len; at += used)
 		assert_int_equal(feed_message_read(bytes->data + at, bytes->len - at, &used,
-						   write_down, read),
+						   append_message, read),
 				 FRAMING_ONE);
 	assert_string_equal(read->str, "0 1   0;2 1 main  0;4 1   0;");
 	assert_true(feed_book_find(book, "main", &found));
@@ -610,9 +615,9 @@
 	feed_book_free(book);
 }
 
-/* Whatever a deployment asks, a VM that is fed by one that is cut off from the store reads the
- * store itself before a change is due, and one whose watch went silent does so before it is held to
- * that. While all is well neither happens. */
+/* Whatever time limits a deployment sets, a VM whose feeder is cut off from the store reads the
+ * store itself before a change is due, and so does a VM whose watch went silent, before its settle
+ * time is over. While nothing fails, neither happens. */
 static void test_feed_timing(void **state)
 {
 	const uint32_t grouped_ms = 800, news_ms = 500, answer_ms = 100;
@@ -632,8 +637,9 @@
 	}
 }
 
-/* A caller heeds a third of what it has left, and comes back once: sooner than what it lacks can be
- * there, it is refused again; later than that third, it comes at its own time. */
+/* A caller respects a retry delay of up to a third of its remaining time, and retries once. If it
+ * retries before the missing resource can be there, it is refused again; a longer delay is ignored,
+ * and it retries at its own time. */
 static void test_retry_after(void **state)
 {
 	const uint64_t patient_us = 4 * SECOND_US, hasty_us = SECOND_US / 2;
@@ -660,8 +666,8 @@
 	return fingerprint_of(head_text, body_text);
 }
 
-/* Attempts at one request differ in their ids, in what their callers' libraries add, and in the
- * order of their headers. */
+/* Attempts at one request differ in their ids, in headers that their callers' libraries add, and in
+ * the order of headers. */
 static void test_fingerprint_of_attempts(void **state)
 {
 	fingerprint_t first = fingerprint_with("GET /a/1 HTTP/1.1\r\nHost: h\r\nId: 1\r\n", "");
@@ -699,7 +705,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_top_records),
 		cmocka_unit_test(test_retry_budget),
-		cmocka_unit_test(test_budget_for_speed),
+		cmocka_unit_test(test_budget_for_hedges),
 		cmocka_unit_test(test_shares_of_many),
 		cmocka_unit_test(test_shares_of_few),
 		cmocka_unit_test(test_placement),
@@ -708,13 +714,13 @@
 		cmocka_unit_test(test_feed_of_region),
 		cmocka_unit_test(test_feed_choice),
 		cmocka_unit_test(test_feed_sizes),
-		cmocka_unit_test(test_feed_judged),
-		cmocka_unit_test(test_announced_before_the_feed_is_taken),
+		cmocka_unit_test(test_feed_verdict),
+		cmocka_unit_test(test_announced_before_the_feed_is_used),
 		cmocka_unit_test(test_announced_by_a_feed_that_ends),
-		cmocka_unit_test(test_follow_ends),
+		cmocka_unit_test(test_list_watch_stop),
 		cmocka_unit_test(test_store_era),
 		cmocka_unit_test(test_feed),
-		cmocka_unit_test(test_announced_object_is_not_kept),
+		cmocka_unit_test(test_announced_object_is_kept),
 		cmocka_unit_test(test_feed_timing),
 		cmocka_unit_test(test_retry_after),
 		cmocka_unit_test(test_fingerprint_of_attempts),
