--- a/src/core/cold_share.c
+++ b/src/core/cold_share.c
@@ -19,7 +19,7 @@
 /* After this time, every VM that relies on its list has this VM in it. */
 #define MEMBER_MIN_US (LIST_STALENESS_US + LIST_VALID_US + SHARE_REFRESH_US)
 
-bool cold_share_is_trusted(const cold_members_t *members, uint64_t now_us)
+bool cold_share_is_usable(const cold_members_t *members, uint64_t now_us)
 {
 	if (!members->member_us || !members->listed_us)
 		return false;
@@ -39,14 +39,14 @@
 	return XXH64(vm->name, strlen(vm->name), salt);
 }
 
-static uint32_t max_requests(const cold_limit_t *bound)
+static uint32_t max_requests(const cold_limit_t *limit)
 {
-	return (uint32_t)CLAMP(bound->per_s, 1, G_MAXINT32);
+	return (uint32_t)CLAMP(limit->per_s, 1, G_MAXINT32);
 }
 
 /* Whether fewer than @p max VMs come before this one. */
 static bool is_among_first(const cold_members_t *members, const vm_t *own,
-			   const cold_limit_t *bound, const char *id, uint32_t max)
+			   const cold_limit_t *limit, const char *id, uint32_t max)
 {
 	uint64_t salt = XXH64(id, strlen(id), 0), rank = rank_of(own, salt);
 	int speed_class = speed_class_of(own);
@@ -54,7 +54,7 @@
 
 	for (guint i = 0; i < members->vms->len && before < max; i++) {
 		const vm_t *vm = g_ptr_array_index(members->vms, i);
-		int other = bound->gathered ? speed_class_of(vm) : speed_class;
+		int other = limit->gathered ? speed_class_of(vm) : speed_class;
 
 		if (other != speed_class)
 			before += other > speed_class;
@@ -64,21 +64,21 @@
 	return before < max;
 }
 
-uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *bound, const char *id)
+uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *limit, const char *id)
 {
 	const vm_t *own = vm_find(members->vms, members->own_name);
-	uint32_t max = max_requests(bound);
+	uint32_t max = max_requests(limit);
 
 	if (!own)
 		return 0;
 	if (members->vms->len <= max)
 		return max / members->vms->len;
-	return is_among_first(members, own, bound, id, max) ? 1 : 0;
+	return is_among_first(members, own, limit, id, max) ? 1 : 0;
 }
 
-uint64_t cold_share_window_us(const cold_limit_t *bound)
+uint64_t cold_share_window_us(const cold_limit_t *limit)
 {
-	double second_us = 1e6 / CLAMP(bound->per_s, 1e-3, 1);
+	double second_us = 1e6 / CLAMP(limit->per_s, 1e-3, 1);
 
 	return (uint64_t)MAX(second_us, COLD_WINDOW_US);
 }
--- a/src/core/cold_share.h
+++ b/src/core/cold_share.h
@@ -39,13 +39,13 @@
 } cold_limit_t;
 
 /** Whether this VM knows enough of the other VMs to send anything to a cold searcher. */
-bool cold_share_is_trusted(const cold_members_t *members, uint64_t now_us);
+bool cold_share_is_usable(const cold_members_t *members, uint64_t now_us);
 /**
  * The number of sub-requests that this VM may send to the searcher @p id in each window.
  * @return 0 for none
  */
-uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *bound, const char *id);
-/** The window for @p bound: longer where the limit is less than one request a second. */
-uint64_t cold_share_window_us(const cold_limit_t *bound);
+uint32_t cold_share_of(const cold_members_t *members, const cold_limit_t *limit, const char *id);
+/** The window for @p limit: longer where the limit is less than one request a second. */
+uint64_t cold_share_window_us(const cold_limit_t *limit);
 
 #endif
--- a/src/core/evacuation.h
+++ b/src/core/evacuation.h
@@ -3,9 +3,9 @@
  * Data centres that operators have evacuated: nothing new is sent to their searchers until the data
  * centre is reopened.
  *
- * The list is read in full, then updated by events. A store that is restored from a backup copy may
- * lack an evacuation that its operator is about to write again. So after a restore, a missing
- * evacuation stays in force for a grace period.
+ * The list is read in full, then updated by events. A store that is restored from an older copy of
+ * its data may lack an evacuation that its operator is about to write again. So after a restore, a
+ * missing evacuation stays in force for a grace period.
  */
 #ifndef DS_EVACUATION_H
 #define DS_EVACUATION_H
@@ -29,7 +29,8 @@
 void evacuations_list_end(evacuations_t *evacuations, uint64_t now_us);
 /** The operator has reopened @p data_centre. */
 void evacuations_remove(evacuations_t *evacuations, const char *data_centre);
-/** The store was restored from a backup copy: evacuations that its lists lack may be written again.
+/** The store was restored from an older copy of its data: evacuations that its lists lack may be
+ * written again.
  */
 void evacuations_store_restored(evacuations_t *evacuations, uint64_t now_us);
 uint32_t evacuations_count(const evacuations_t *evacuations);
--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -53,7 +53,7 @@
 	if (forward->finished)
 		return;
 	forward->finished = true;
-	forwarder->counters.ends[answer->outcome]++;
+	forwarder->counters.outcomes[answer->outcome]++;
 	latency_buckets_add(&forward->state->latency, now_us - forward->request.received_us);
 	forward_release(forward, UNNEEDED_CANCEL_US, now_us);
 	forwarder->ops->answer(forwarder->ctx, forward, answer);
--- a/src/core/forward.h
+++ b/src/core/forward.h
@@ -186,10 +186,10 @@
 };
 
 typedef struct forwarder_ops_t {
-	/** Send @p sub on a connection to its searcher; sets sub->carrier. */
+	/** Send @p sub on a connection to its searcher; must set sub->connection. */
 	void (*send)(void *ctx, subrequest_t *sub);
-	/** The answer is no longer needed: close the connection of @p sub. forwarder_sub_ended()
-	 * must not follow. */
+	/** The answer is no longer needed: close the connection of @p sub.
+	 * forwarder_subrequest_ended() must not follow. */
 	void (*cancel)(void *ctx, subrequest_t *sub);
 	/** Answer the caller; called once. The request is freed after the return. */
 	void (*answer)(void *ctx, forward_t *forward, const forward_answer_t *answer);
@@ -203,12 +203,12 @@
 /** Counters, for metrics. */
 typedef struct forwarder_counters_t {
 	uint64_t requests;
-	uint64_t ends[FORWARD_OUTCOMES];
+	uint64_t outcomes[FORWARD_OUTCOMES];
 	uint64_t partial;
-	uint64_t left; /**< callers that disconnected */
+	uint64_t callers_left; /**< callers that disconnected */
 	uint64_t firsts, hedges, retries, waited;
 	uint64_t shed; /**< parts left out because their shard is overloaded */
-	uint64_t sub_ends[SUB_UNKNOWN + 1];
+	uint64_t sub_outcomes[SUB_UNKNOWN + 1];
 	uint64_t loads_reported;  /**< replies that reported their searcher's load */
 	uint64_t loads_malformed; /**< replies whose load could not be read */
 } forwarder_counters_t;
@@ -233,8 +233,8 @@
  */
 void forwarder_abandon(forwarder_t *forwarder, forward_t *forward, uint64_t now_us);
 /** A sub-request is over. Takes ownership of @p reply and frees @p sub. */
-void forwarder_sub_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
-			 uint64_t now_us);
+void forwarder_subrequest_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
+				uint64_t now_us);
 /** The process of @p searcher has ended: its port refuses connections, or a newer start of it is
  * known. */
 void forwarder_searcher_ended(forwarder_t *forwarder, const searcher_t *searcher, uint64_t now_us);
@@ -260,7 +260,7 @@
 
 uint64_t forwarder_next_us(const forwarder_t *forwarder);
 void forwarder_run(forwarder_t *forwarder, uint64_t now_us);
-uint32_t forwarder_open(const forwarder_t *forwarder);
+uint32_t forwarder_open_requests(const forwarder_t *forwarder);
 const forwarder_counters_t *forwarder_counters(const forwarder_t *forwarder);
 /** Called with the latencies of the answers of @p route. */
 typedef void (*forwarder_latency_f)(void *ctx, const char *route, const latency_buckets_t *latency);
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -102,7 +102,7 @@
 	timers_run(&forwarder->timers, now_us);
 }
 
-uint32_t forwarder_open(const forwarder_t *forwarder)
+uint32_t forwarder_open_requests(const forwarder_t *forwarder)
 {
 	return forwarder->open;
 }
@@ -122,7 +122,7 @@
 		visit(ctx, route, &((const route_state_t *)state)->latency);
 }
 
-static route_state_t *state_of(forwarder_t *forwarder, const route_t *route)
+static route_state_t *route_state_of(forwarder_t *forwarder, const route_t *route)
 {
 	route_state_t *state = g_hash_table_lookup(forwarder->states, route->name);
 
@@ -241,7 +241,7 @@
 {
 	uint64_t took_us = now_us - sub->sending.sent_us;
 
-	forwarder->counters.sub_ends[reply->outcome]++;
+	forwarder->counters.sub_outcomes[reply->outcome]++;
 	note_survival(forwarder, sub, reply, now_us);
 	note_load(forwarder, sub->searcher, reply, now_us);
 	switch (reply->outcome) {
@@ -267,8 +267,8 @@
 	forward_advance(forward, now_us);
 }
 
-void forwarder_sub_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
-			 uint64_t now_us)
+void forwarder_subrequest_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
+				uint64_t now_us)
 {
 	pool_t *pool = sub->pool;
 
@@ -445,7 +445,7 @@
 		answer.retry_after_us = retry_after_us(LACK_NEWS, request->patience_us, away);
 	if (outcome == FORWARD_SHUTTING_DOWN)
 		answer.retry_after_us = retry_after_us(LACK_VM, request->patience_us, away);
-	forwarder->counters.ends[outcome]++;
+	forwarder->counters.outcomes[outcome]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
 
@@ -535,8 +535,8 @@
 	forward->owner = owner;
 	forward->routing = routing_ref(forwarder->routing);
 	forward->route = route;
-	forward->state = state_of(forwarder, route);
-	route_state_note_patience(forward->state, request->patience_us);
+	forward->state = route_state_of(forwarder, route);
+	route_state_note_caller_wait(forward->state, request->patience_us);
 	forward->timer = (timer_entry_t){.fire = forward_on_timer, .ctx = forward};
 	forward->max_attempts = request->max_attempts
 					? MIN(request->max_attempts, route->max_attempts)
@@ -574,7 +574,7 @@
 
 void forwarder_abandon(forwarder_t *forwarder, forward_t *forward, uint64_t now_us)
 {
-	forwarder->counters.left++;
+	forwarder->counters.callers_left++;
 	forward->finished = true;
 	forward_release(forward, ABANDONED_CANCEL_US, now_us);
 	forward_free(forward, now_us);
--- a/src/core/route_state.c
+++ b/src/core/route_state.c
@@ -12,7 +12,7 @@
 /* Callers that retry have less time left than at first, and several retries may come in a row. So a
  * shorter wait moves the estimate by this share of the difference only; a longer wait replaces it.
  */
-#define PATIENCE_DECAY 0.02
+#define CALLER_WAIT_DECAY 0.02
 /* The hang rate of a new route: after two answers in time, its late sub-requests count against
  * searchers. */
 #define HANG_RATE_INITIAL 0.5
@@ -51,12 +51,12 @@
 		     (uint64_t)((double)took_us * RELATIVE_UNIT / expected_us));
 }
 
-void route_state_note_patience(route_state_t *state, uint64_t patience_us)
+void route_state_note_caller_wait(route_state_t *state, uint64_t patience_us)
 {
 	double less_us = state->patience_us - (double)patience_us;
 
 	if (patience_us)
-		state->patience_us -= less_us > 0 ? less_us * PATIENCE_DECAY : less_us;
+		state->patience_us -= less_us > 0 ? less_us * CALLER_WAIT_DECAY : less_us;
 }
 
 route_state_t *route_state_new(void)
--- a/src/core/route_state.h
+++ b/src/core/route_state.h
@@ -17,7 +17,8 @@
 	quantile_t relative_latency; /**< median latency of its sub-requests, in 1/1000 of the
 					expected latency */
 	double hang_rate;   /**< share of its latest sub-requests that hung, as a moving average */
-	double patience_us; /**< how long its callers wait; follows the longest waits */
+	double patience_us; /**< how long its callers wait; longer waits count at once, shorter ones
+			       slowly */
 	GArray *credits; /**< double, for each target of a split: how far it is behind its share */
 	latency_buckets_t latency; /**< from the caller's request to the answer */
 } route_state_t;
@@ -35,7 +36,7 @@
  */
 bool route_state_implicates_searcher(const route_state_t *state);
 /** Record how long a caller of the route waits; 0: not given. */
-void route_state_note_patience(route_state_t *state, uint64_t patience_us);
+void route_state_note_caller_wait(route_state_t *state, uint64_t patience_us);
 /** Choose the target of a split for the next request: an index into @p targets, route_target_t. */
 uint32_t route_state_choose_target(route_state_t *state, const GArray *targets, GRand *rand);
 
--- a/src/core/sharing.c
+++ b/src/core/sharing.c
@@ -65,7 +65,7 @@
 void sharing_update_members(sharing_t *sharing, const cold_members_t *members, bool changed,
 			    uint64_t now_us)
 {
-	bool list_current = cold_share_is_trusted(members, now_us);
+	bool list_current = cold_share_is_usable(members, now_us);
 
 	sharing->fleet_version += changed || list_current != sharing->list_current;
 	sharing->list_current = list_current;
--- a/src/core/sighting.h
+++ b/src/core/sighting.h
@@ -27,16 +27,16 @@
 	uint64_t after_us;    /**< time from sending a sub-request to its answer, or until now */
 } observation_t;
 
-/** Tells whether this VM's observations reflect the searchers, or only problems of this VM itself.
- * Zeroed at the start. */
+/** Decides whether this VM's observations reflect the searchers, or only problems of this VM
+ * itself. Zeroed at the start. */
 typedef struct observation_filter_t {
 	double unexpected_share; /**< share of its latest sub-requests with an unexpected result, as
 				    a moving average */
 	uint64_t first_sent_us;	 /**< when the first sub-request was recorded; 0: none yet */
 } observation_filter_t;
 
-/** Whether an answer after @p took_us, where @p expected_us was expected, is unexpected and worth
- * sharing. */
+/** Whether an answer after @p took_us, where @p expected_us was expected, is unexpected and so
+ * worth sharing. So is any answer of a searcher that is being avoided. */
 bool observation_is_unexpected(const searcher_t *searcher, double expected_us, uint64_t took_us,
 			       uint64_t now_us);
 /** Record that a sub-request has ended or hangs, and whether that was @p unexpected. */
--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -22,10 +22,10 @@
 	put(out, "requests_total", NULL, NULL, counters->requests);
 	for (int end = 0; end < FORWARD_OUTCOMES; end++)
 		put(out, "answers_total", "outcome", forward_outcome_name((forward_outcome_t)end),
-		    counters->ends[end]);
+		    counters->outcomes[end]);
 	put(out, "answers_partial_total", NULL, NULL, counters->partial);
-	put(out, "callers_left_total", NULL, NULL, counters->left);
-	put(out, "requests_open", NULL, NULL, forwarder_open(forwarder));
+	put(out, "callers_left_total", NULL, NULL, counters->callers_left);
+	put(out, "requests_open", NULL, NULL, forwarder_open_requests(forwarder));
 	put(out, "sub_requests_total", "purpose", "first", counters->firsts);
 	put(out, "sub_requests_total", "purpose", "hedge", counters->hedges);
 	put(out, "sub_requests_total", "purpose", "retry", counters->retries);
@@ -35,7 +35,7 @@
 	put(out, "loads_malformed_total", NULL, NULL, counters->loads_malformed);
 	for (int end = 0; end <= SUB_UNKNOWN; end++)
 		put(out, "sub_replies_total", "outcome", sub_outcome_name((sub_outcome_t)end),
-		    counters->sub_ends[end]);
+		    counters->sub_outcomes[end]);
 }
 
 static void put_poison(GString *out, const poison_t *poison)
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -189,7 +189,7 @@
 	front_task_t *task = ctx;
 
 	front_log_sub(sub, reply);
-	forwarder_sub_ended(task->forwarder, sub, reply, loop_now_us());
+	forwarder_subrequest_ended(task->forwarder, sub, reply, loop_now_us());
 	arm_forwarder(task);
 }
 
--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -376,7 +376,7 @@
 /* Sends whatever it may, to each searcher; the sendings are counted in @p sent. */
 static void press(presser_t *one, const cold_limit_t *bound, uint64_t now_us, GArray **sent)
 {
-	if (!cold_share_is_trusted(&one->members, now_us))
+	if (!cold_share_is_usable(&one->members, now_us))
 		return;
 	for (int i = 0; i < COLD_SEARCHERS; i++) {
 		if (!one->shares[i] || now_us < one->next_us[i])
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -18,8 +18,8 @@
  * - `unreadable ID`: a searcher's entry in the store can't be read any more
  * - `lost, back`: the store stops answering, or answers again
  * - `list ID...`: the store sends its complete list
- * - `restored`: the store was restored from a backup copy
- * - `copied ID SERVICE local|far`: an outdated entry from the backup copy
+ * - `restored`: the store was restored from an older copy of its data
+ * - `copied ID SERVICE local|far`: an outdated entry, from that copy
  * - `room ID CONNECTIONS`: set this VM's share of the searcher's connections
  * - `constant N`: set this VM's part of the constant of the retry bound
  * - `idle ID CONNECTIONS`: this VM has so many idle connections to the searcher
@@ -549,7 +549,7 @@
 	reply->status = end == SUB_ANSWERED ? 200 : 500;
 	reply->stamp = g_strdup_printf("by-%s", sub->searcher->id);
 	reply->body = g_string_new(body);
-	forwarder_sub_ended(fixture->forwarder, sub, reply, fixture->now_us);
+	forwarder_subrequest_ended(fixture->forwarder, sub, reply, fixture->now_us);
 }
 
 static void do_end(void *ctx, char **words)
@@ -584,7 +584,7 @@
 	reply->broken = true;
 	g_ptr_array_remove(fixture->subs, sub);
 	sub->searcher->connections--;
-	forwarder_sub_ended(fixture->forwarder, sub, reply, fixture->now_us);
+	forwarder_subrequest_ended(fixture->forwarder, sub, reply, fixture->now_us);
 }
 
 static void do_refuses(void *ctx, char **words)
--- a/tests/front_world.c
+++ b/tests/front_world.c
@@ -299,7 +299,7 @@
 	g_string_printf(sub_reply->body, "%-*s", RECORD_BYTES, sub->pool->service);
 	g_ptr_array_remove(world->out, pending);
 	world->replied++;
-	forwarder_sub_ended(world->forwarder, sub, sub_reply, world->now_us);
+	forwarder_subrequest_ended(world->forwarder, sub, sub_reply, world->now_us);
 	if (shows)
 		look_for_process(world, searcher, behaviour);
 	searcher_unref(searcher);
@@ -843,8 +843,9 @@
 		if (!played->answered && !played->left)
 			wrong(world, "%s has no answer", played->id);
 	}
-	if (forwarder_open(world->forwarder))
-		wrong(world, "%u requests are still open", forwarder_open(world->forwarder));
+	if (forwarder_open_requests(world->forwarder))
+		wrong(world, "%u requests are still open",
+		      forwarder_open_requests(world->forwarder));
 	if (world->out->len)
 		wrong(world, "%u sub-requests are still out", world->out->len);
 }
--- a/tests/load_world.c
+++ b/tests/load_world.c
@@ -176,7 +176,7 @@
 		} else {
 			sub->searcher->idle++;
 		}
-		forwarder_sub_ended(job->vm->forwarder, sub, reply, now_us);
+		forwarder_subrequest_ended(job->vm->forwarder, sub, reply, now_us);
 	}
 	g_free(job);
 }
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -292,10 +292,10 @@
 }
 
 /*
- * Failure: work is still sent to an evacuated data centre. The store was restored from a backup
- * copy that lacks the evacuation, so its list has none, until the operator writes it again some
- * seconds later. So an evacuation that is missing after a restore stays in force for that long; one
- * that its operator removes does not.
+ * Failure: work is still sent to an evacuated data centre. The store was restored from an older
+ * copy of its data that lacks the evacuation, so its list has none, until the operator writes it
+ * again some seconds later. So an evacuation that is missing after a restore stays in force for
+ * that long; one that its operator removes does not.
  */
 static void test_evacuations(void **state)
 {
@@ -521,8 +521,8 @@
 	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
 }
 
-/* A reply that was on its way while the store was restored from a backup copy is outdated: if it
- * were applied, the VM would go on with revisions that mean something else now. */
+/* A reply that was on its way while the store was restored from an older copy of its data is
+ * outdated: if it were applied, the VM would go on with revisions that mean something else now. */
 static void test_store_era(void **state)
 {
 	store_era_t era = {0};
