--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -1,20 +1,22 @@
 /**
  * @file forwarder.c
- * Takes requests in, and the ends of sub-requests. See forward.h.
+ * Accepts requests and processes finished sub-requests. See forward.h.
  */
 #include "core/forward_private.h"
 
 #include "core/retry_after.h"
 
-/* The caller's clock started a trip earlier, and the answer needs another, of some ms each, and a
- * turn of this loop. */
-#define WAY_US 9000
-/* Callers that do not say how long they wait, on routes without a timeout. */
-#define PATIENCE_UNKNOWN_US 5000000
-/* A caller that left must not keep searchers at work for half a second: close well before that. */
-#define LEFT_US 250000
+/* A request's deadline and target are this much before those of its caller. The caller's clock
+ * started when it sent the request; the way here, the way back (some ms each) and a pass of the
+ * event loop take time. */
+#define NETWORK_MARGIN_US 9000
+/* For callers that give no timeout, on routes without one. */
+#define DEFAULT_CALLER_TIMEOUT_US 5000000
+/* When a caller has disconnected, searchers must not work for it for half a second: its
+ * sub-requests are cancelled well before that. */
+#define ABANDONED_CANCEL_US 250000
 
-static void on_warm(void *ctx, uint64_t now_us);
+static void on_cold_timer(void *ctx, uint64_t now_us);
 
 forwarder_t *forwarder_new(const forwarder_ops_t *ops, void *ctx, registry_t *registry,
 			   uint32_t seed)
@@ -29,8 +31,8 @@
 	forwarder->rand = g_rand_new_with_seed(seed);
 	forwarder->poison = poison_new(ops->poison, ctx, seed);
 	timers_init(&forwarder->timers);
-	timers_init(&forwarder->watches);
-	forwarder->warm_timer = (timer_entry_t){.fire = on_warm, .ctx = forwarder};
+	timers_init(&forwarder->hang_timers);
+	forwarder->cold_timer = (timer_entry_t){.fire = on_cold_timer, .ctx = forwarder};
 	return forwarder;
 }
 
@@ -40,17 +42,18 @@
 	g_hash_table_unref(forwarder->states);
 	poison_free(forwarder->poison);
 	timers_clear(&forwarder->timers);
-	timers_clear(&forwarder->watches);
+	timers_clear(&forwarder->hang_timers);
 	g_rand_free(forwarder->rand);
 	g_free(forwarder);
 }
 
 /*
- * At once, and not with the shares of this VM: a VM that stood still reads a version that names new
- * searchers, cold ones, and the requests that have waited, in one turn. Without the bound all of
- * these would go to them.
+ * Sets the limits together with the routing, not later with this VM's shares. A VM that was
+ * suspended may read, in one pass of the event loop, a version that names new, cold searchers and
+ * all requests that have arrived meanwhile. Without the limit all of these would go to those
+ * searchers.
  */
-static void set_cold_bounds(const forwarder_t *forwarder)
+static void set_cold_limits(const forwarder_t *forwarder)
 {
 	const routing_t *routing = forwarder->routing;
 	GHashTableIter iter;
@@ -58,10 +61,10 @@
 
 	g_hash_table_iter_init(&iter, routing->services);
 	while (g_hash_table_iter_next(&iter, &service, &value)) {
-		const service_terms_t *terms = value;
+		const service_limits_t *terms = value;
 		pool_t *pool = registry_pool(forwarder->registry, service);
 
-		pool->cold = (cold_bound_t){.per_s = terms->cold_per_s,
+		pool->cold = (cold_limit_t){.per_s = terms->cold_per_s,
 					    .gathered = !routing_is_single(routing, service)};
 		pool->cold_us = terms->cold_us;
 	}
@@ -71,7 +74,7 @@
 {
 	routing_unref(forwarder->routing);
 	forwarder->routing = routing;
-	set_cold_bounds(forwarder);
+	set_cold_limits(forwarder);
 }
 
 const routing_t *forwarder_routing(const forwarder_t *forwarder)
@@ -82,24 +85,24 @@
 uint64_t forwarder_next_us(const forwarder_t *forwarder)
 {
 	uint64_t own_us =
-		MIN(timers_next_us(&forwarder->timers), timers_next_us(&forwarder->watches));
+		MIN(timers_next_us(&forwarder->timers), timers_next_us(&forwarder->hang_timers));
 
 	return MIN(own_us, poison_next_us(forwarder->poison));
 }
 
-void forwarder_leave(forwarder_t *forwarder)
+void forwarder_stop_accepting(forwarder_t *forwarder)
 {
-	forwarder->leaving = true;
+	forwarder->shutting_down = true;
 }
 
 void forwarder_run(forwarder_t *forwarder, uint64_t now_us)
 {
-	timers_run(&forwarder->watches, now_us);
+	timers_run(&forwarder->hang_timers, now_us);
 	poison_run(forwarder->poison, now_us);
 	timers_run(&forwarder->timers, now_us);
 }
 
-uint32_t forwarder_open(const forwarder_t *forwarder)
+uint32_t forwarder_open_requests(const forwarder_t *forwarder)
 {
 	return forwarder->open;
 }
@@ -119,7 +122,7 @@
 		visit(ctx, route, &((const route_state_t *)state)->latency);
 }
 
-static route_state_t *state_of(forwarder_t *forwarder, const route_t *route)
+static route_state_t *route_state_of(forwarder_t *forwarder, const route_t *route)
 {
 	route_state_t *state = g_hash_table_lookup(forwarder->states, route->name);
 
@@ -132,53 +135,57 @@
 
 /* ---- replies ---- */
 
-void forwarder_sight(forwarder_t *forwarder, const sub_t *sub, sighting_type_t type,
-		     uint64_t now_us)
+void forwarder_share_observation(forwarder_t *forwarder, const subrequest_t *sub,
+				 observation_type_t type, uint64_t now_us)
 {
-	const sighting_t sighting = {.type = type,
-				     .searcher = sub->searcher->id,
-				     .born_ms = sub->searcher->born_ms,
-				     .after_us = now_us - sub->sending.sent_us};
+	const observation_t observation = {.type = type,
+					   .searcher = sub->searcher->id,
+					   .born_ms = sub->searcher->born_ms,
+					   .after_us = now_us - sub->sending.sent_us};
 
-	/* The time to connect says little of the searcher, and is long when many VMs start. */
-	if (sub->connects || !forwarder->ops->sighted)
+	/* The time to connect says little about the searcher and is long when many VMs start
+	 * together. */
+	if (sub->opens_connection || !forwarder->ops->observed)
 		return;
-	if (sighting_filter_passes(&forwarder->sightings, type, now_us))
-		forwarder->ops->sighted(forwarder->ctx, &sighting);
+	if (observation_filter_passes(&forwarder->observation_filter, type, now_us))
+		forwarder->ops->observed(forwarder->ctx, &observation);
 }
 
-void forwarder_take_sighting(forwarder_t *forwarder, const sighting_t *sighting, uint64_t now_us)
+void forwarder_take_observation(forwarder_t *forwarder, const observation_t *observation,
+				uint64_t now_us)
 {
-	if (sighting_filter_passes(&forwarder->sightings, sighting->type, now_us))
-		sighting_take(forwarder->registry, sighting, now_us);
+	if (observation_filter_passes(&forwarder->observation_filter, observation->type, now_us))
+		observation_apply(forwarder->registry, observation, now_us);
 }
 
-static void measure_answer(forwarder_t *forwarder, sub_t *sub, uint64_t took_us, uint64_t now_us)
+static void measure_answer(forwarder_t *forwarder, subrequest_t *sub, uint64_t took_us,
+			   uint64_t now_us)
 {
 	double expected_us = placement_expected_us(sub->searcher, sub->pool, now_us);
-	bool is_news = sighting_is_news(sub->searcher, expected_us, took_us, now_us);
+	bool is_unexpected = observation_is_unexpected(sub->searcher, expected_us, took_us, now_us);
 
-	sighting_filter_note(&forwarder->sightings, is_news, now_us);
-	route_state_note(sub->route, false);
+	observation_filter_note(&forwarder->observation_filter, is_unexpected, now_us);
+	route_state_note_hang(sub->route, false);
 	route_state_note_time(sub->route, took_us, expected_us);
-	if (is_news)
-		forwarder_sight(forwarder, sub, SIGHTING_ANSWERED, now_us);
+	if (is_unexpected)
+		forwarder_share_observation(forwarder, sub, OBSERVATION_ANSWERED, now_us);
 	searcher_note_answer(sub->searcher, took_us, now_us);
 	quantile_add(&sub->pool->typical, took_us);
 	latency_buckets_add(&sub->pool->latency, took_us);
 }
 
-/* What an end says of the searcher's process, and of what its request does to searchers. */
-static void note_survival(forwarder_t *forwarder, const sub_t *sub, const sub_reply_t *reply,
+/* Records what an outcome shows about the searcher's process, and about whether searchers survive
+ * the request. */
+static void note_survival(forwarder_t *forwarder, const subrequest_t *sub, const sub_reply_t *reply,
 			  uint64_t now_us)
 {
 	poison_t *poison = forwarder->poison;
 	const poison_sending_t sending = {.sent_us = sub->sending.sent_us,
 					  .on_trial = sub->on_trial,
-					  .kept = !sub->connects,
+					  .kept = !sub->opens_connection,
 					  .answered = sub->forward && sub->forward->answered};
 
-	switch (reply->end) {
+	switch (reply->outcome) {
 	case SUB_ANSWERED:
 		poison_note_answered(poison, sub->fingerprint, sub->pool->service, now_us);
 		poison_note_alive(poison, sub->searcher, sub->sending.sent_us);
@@ -191,7 +198,7 @@
 		poison_note_ended(poison, sub->searcher, now_us);
 		break;
 	default:
-		if (reply->broken && !sub->served)
+		if (reply->broken && !sub->superseded)
 			poison_note_lost(poison, sub->fingerprint, sub->searcher, &sending, now_us);
 	}
 }
@@ -212,31 +219,32 @@
 	return forwarder->poison;
 }
 
-bool forwarder_blocks(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us)
+bool forwarder_is_blocked(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us)
 {
 	return poison_judge(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
 }
 
-/* Another searcher at its address tells its own. */
+/* A reply from another searcher at the same address carries that one's load. */
 static void note_load(forwarder_t *forwarder, searcher_t *searcher, const sub_reply_t *reply,
 		      uint64_t now_us)
 {
 	forwarder->counters.loads_malformed += reply->load_malformed;
-	if (!reply->load_told || reply->end == SUB_REPLACED)
+	if (!reply->load_reported || reply->outcome == SUB_REPLACED)
 		return;
-	forwarder->counters.loads_told++;
+	forwarder->counters.loads_reported++;
 	searcher->load = reply->load;
 	searcher->load.at_us = now_us;
 }
 
-static void measure(forwarder_t *forwarder, sub_t *sub, const sub_reply_t *reply, uint64_t now_us)
+static void measure(forwarder_t *forwarder, subrequest_t *sub, const sub_reply_t *reply,
+		    uint64_t now_us)
 {
 	uint64_t took_us = now_us - sub->sending.sent_us;
 
-	forwarder->counters.sub_ends[reply->end]++;
+	forwarder->counters.sub_outcomes[reply->outcome]++;
 	note_survival(forwarder, sub, reply, now_us);
 	note_load(forwarder, sub->searcher, reply, now_us);
-	switch (reply->end) {
+	switch (reply->outcome) {
 	case SUB_ANSWERED:
 		measure_answer(forwarder, sub, took_us, now_us);
 		break;
@@ -251,15 +259,16 @@
 	}
 }
 
-static void take_reply(sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+static void take_reply(subrequest_t *sub, sub_reply_t *reply, uint64_t now_us)
 {
 	forward_t *forward = sub->forward;
 
 	part_take_reply(&forward->parts[sub->part], sub, reply, now_us);
-	forward_go_on(forward, now_us);
+	forward_advance(forward, now_us);
 }
 
-void forwarder_sub_ended(forwarder_t *forwarder, sub_t *sub, sub_reply_t *reply, uint64_t now_us)
+void forwarder_subrequest_ended(forwarder_t *forwarder, subrequest_t *sub, sub_reply_t *reply,
+				uint64_t now_us)
 {
 	pool_t *pool = sub->pool;
 
@@ -268,12 +277,12 @@
 		take_reply(sub, reply, now_us);
 	else
 		sub_reply_free(reply);
-	sub_free(sub);
-	forwarder_room(forwarder, pool->service, now_us);
+	subrequest_free(sub);
+	forwarder_dispatch_waiting(forwarder, pool->service, now_us);
 }
 
-/* The first waiting part for which nobody is left, or NULL. */
-static part_t *hopeless_part(const pool_t *pool)
+/* The first waiting part for which no searcher is left, or NULL. */
+static part_t *part_without_candidates(const pool_t *pool)
 {
 	for (GList *item = pool->waiting.head; item; item = item->next) {
 		part_t *part = item->data;
@@ -285,21 +294,22 @@
 	return NULL;
 }
 
-/* Searchers that leave while parts wait for them must not leave those waiting to their deadline. */
-static void lose_hopeless(pool_t *pool, uint64_t now_us)
+/* When the last searcher for a waiting part leaves, the part is given up at once instead of waiting
+ * to its deadline. */
+static void lose_without_candidates(pool_t *pool, uint64_t now_us)
 {
 	part_t *part;
 
-	while ((part = hopeless_part(pool))) {
+	while ((part = part_without_candidates(pool))) {
 		forward_t *forward = part->forward;
 
 		part_lose(part);
-		if (!forward_settle(forward, now_us))
-			forward_arm(forward, now_us);
+		if (!forward_try_answer(forward, now_us))
+			forward_set_timer(forward, now_us);
 	}
 }
 
-void forwarder_room(forwarder_t *forwarder, const char *service, uint64_t now_us)
+void forwarder_dispatch_waiting(forwarder_t *forwarder, const char *service, uint64_t now_us)
 {
 	pool_t *pool = registry_pool(forwarder->registry, service);
 	GList *next;
@@ -310,30 +320,31 @@
 		searcher_t *searcher = part_choose(part, now_us);
 
 		next = item->next;
-		if (!searcher && !part->asked && !forward->route->regions && forward->probe != part)
-			break; /* nobody has room, for any part */
+		if (!searcher && !part->tried && !forward->route->regions && forward->probe != part)
+			break; /* no searcher has a free connection, for any part */
 		if (!searcher)
 			continue;
 		part_send_waiting(part, searcher, now_us);
-		if (forward_settle(forward, now_us))
-			next = pool->waiting.head; /* its other parts have left, too */
+		if (forward_try_answer(forward, now_us))
+			next = pool->waiting.head; /* its other parts left the queue, too */
 		else
-			forward_arm(forward, now_us);
+			forward_set_timer(forward, now_us);
 	}
-	lose_hopeless(pool, now_us);
+	lose_without_candidates(pool, now_us);
 }
 
-void forwarder_look_at(forwarder_t *forwarder, uint64_t at_us)
+void forwarder_dispatch_at(forwarder_t *forwarder, uint64_t at_us)
 {
-	timer_entry_t *timer = &forwarder->warm_timer;
+	timer_entry_t *timer = &forwarder->cold_timer;
 
 	if (at_us != UINT64_MAX && (!timer->place || at_us < timer->at_us))
 		timers_set(&forwarder->timers, timer, at_us);
 }
 
-/* No answer comes from a searcher that is sent nothing: those that wait for it to warm up would
- * wait to their deadline. */
-static void on_warm(void *ctx, uint64_t now_us)
+/* Waiting parts are normally dispatched when an answer frees a connection. A cold searcher that is
+ * sent nothing sends no answer, so without this timer parts that wait for it would wait to their
+ * deadline. */
+static void on_cold_timer(void *ctx, uint64_t now_us)
 {
 	forwarder_t *forwarder = ctx;
 	g_autoptr(GList) pools = g_hash_table_get_values(registry_pools(forwarder->registry));
@@ -342,11 +353,11 @@
 		const pool_t *pool = item->data;
 
 		if (pool->waiting.length)
-			forwarder_room(forwarder, pool->service, now_us);
+			forwarder_dispatch_waiting(forwarder, pool->service, now_us);
 		if (pool->waiting.length) {
 			const candidates_t candidates = part_candidates(pool->waiting.head->data);
 
-			forwarder_look_at(forwarder, placement_warm_us(&candidates, now_us));
+			forwarder_dispatch_at(forwarder, placement_warm_us(&candidates, now_us));
 		}
 	}
 }
@@ -360,14 +371,14 @@
 	part->forward = forward;
 	part->pool = registry_pool(forward->forwarder->registry, service);
 	part->state = PART_WAITING;
-	if (!forward->request.again)
+	if (!forward->request.is_resend)
 		retry_budget_note_request(&part->pool->budget, now_us);
 	else if (!retry_budget_take(&part->pool->budget, &part->pool->bound, RETRY_FOR_ANSWER,
 				    now_us))
 		part_lose(part);
 }
 
-static void lay_out_parts(forward_t *forward, uint64_t now_us)
+static void create_parts(forward_t *forward, uint64_t now_us)
 {
 	const GArray *targets = forward->route->targets;
 
@@ -387,8 +398,8 @@
 		part_init(forward, i, g_array_index(targets, route_target_t, i).service, now_us);
 }
 
-/* Before anything is sent: what is hopeless from the start must not put any searcher to work. */
-static void lose_impossible(forward_t *forward)
+/* Runs before anything is sent: a request that cannot succeed must not put searchers to work. */
+static void lose_unservable(forward_t *forward)
 {
 	for (uint32_t i = 0; i < forward->part_count; i++) {
 		part_t *part = &forward->parts[i];
@@ -401,16 +412,18 @@
 
 forward_times_t forward_times(const forward_request_t *request, const route_t *route)
 {
-	uint64_t wait_us = request->patience_us ? request->patience_us : PATIENCE_UNKNOWN_US;
+	uint64_t wait_us = request->patience_us ? request->patience_us : DEFAULT_CALLER_TIMEOUT_US;
 	uint64_t target_us = route->target_us;
 
 	if (route->timeout_us)
 		wait_us = MIN(wait_us, route->timeout_us);
 	return (forward_times_t){
-		.deadline_us = request->received_us +
-			       (wait_us > 2 * WAY_US ? wait_us - WAY_US : wait_us / 2),
-		.partial_us = request->received_us +
-			      (target_us > 2 * WAY_US ? target_us - WAY_US : target_us / 2)};
+		.deadline_us = request->received_us + (wait_us > 2 * NETWORK_MARGIN_US
+							       ? wait_us - NETWORK_MARGIN_US
+							       : wait_us / 2),
+		.partial_us = request->received_us + (target_us > 2 * NETWORK_MARGIN_US
+							      ? target_us - NETWORK_MARGIN_US
+							      : target_us / 2)};
 }
 
 static void set_times(forward_t *forward)
@@ -422,26 +435,27 @@
 }
 
 static void answer_unrouted(forwarder_t *forwarder, const forward_request_t *request, void *owner,
-			    forward_end_t end)
+			    forward_outcome_t outcome)
 {
 	forward_t forward = {.forwarder = forwarder, .request = *request, .owner = owner};
-	forward_answer_t answer = {.end = end};
+	forward_answer_t answer = {.outcome = outcome};
 	bool away = registry_is_store_away(forwarder->registry);
 
-	if (end == FORWARD_NOT_READY)
+	if (outcome == FORWARD_NOT_READY)
 		answer.retry_after_us = retry_after_us(LACK_NEWS, request->patience_us, away);
-	if (end == FORWARD_LEAVING)
+	if (outcome == FORWARD_SHUTTING_DOWN)
 		answer.retry_after_us = retry_after_us(LACK_VM, request->patience_us, away);
-	forwarder->counters.ends[end]++;
+	forwarder->counters.outcomes[outcome]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
 
 /*
- * Whether so many parts would wait past the deadline that the rest is not enough. Found out only
- * after the others were sent, the request could not be refused as not run: searchers worked for
- * nothing, and the caller was told of a failure in place of when to come back.
+ * Whether so many parts would wait past the deadline that the others are not enough. If this were
+ * found only after the others were sent, the request could no longer be refused as not run:
+ * searchers would have worked for nothing, and the caller would get a failure instead of a retry
+ * delay.
  */
-static bool is_hopeless(const forward_t *forward, uint64_t now_us)
+static bool is_coverage_unreachable(const forward_t *forward, uint64_t now_us)
 {
 	uint32_t hopeless = forward->lost;
 
@@ -450,7 +464,7 @@
 		const candidates_t candidates = part_candidates(part);
 
 		if (part->state == PART_WAITING && !placement_has_room(&candidates, now_us))
-			hopeless += part_waits_in_vain(part, now_us);
+			hopeless += part_would_miss_deadline(part, now_us);
 	}
 	return !forward_has_enough(forward, forward->part_count - hopeless);
 }
@@ -462,7 +476,7 @@
 	return placement_wait_us(&candidates, now_us);
 }
 
-/* The part without room that would wait longest, or NULL. */
+/* The part without a free connection that would wait longest, or NULL. */
 static part_t *longest_wait(const forward_t *forward, uint64_t now_us)
 {
 	part_t *longest = NULL;
@@ -479,9 +493,10 @@
 }
 
 /*
- * Where several shards are short, a request goes without the one that is shortest. In the order of
- * the shards the first was left out of nearly all requests, and had room to spare, while the others
- * were not relieved.
+ * Where several shards are overloaded, a request leaves out the most overloaded one: of the parts
+ * without a free connection, the one with the longest expected wait is queued or shed first. If the
+ * order of the shards decided, the first shard would be left out of nearly all requests and have
+ * connections to spare, while the others would not be relieved.
  */
 static void start_parts(forward_t *forward, uint64_t now_us)
 {
@@ -501,8 +516,8 @@
 	forward_t *forward;
 
 	forwarder->counters.requests++;
-	if (forwarder->leaving) {
-		answer_unrouted(forwarder, request, owner, FORWARD_LEAVING);
+	if (forwarder->shutting_down) {
+		answer_unrouted(forwarder, request, owner, FORWARD_SHUTTING_DOWN);
 		return NULL;
 	}
 	if (!forwarder->routing || !registry_is_known(forwarder->registry)) {
@@ -520,46 +535,47 @@
 	forward->owner = owner;
 	forward->routing = routing_ref(forwarder->routing);
 	forward->route = route;
-	forward->state = state_of(forwarder, route);
-	route_state_note_patience(forward->state, request->patience_us);
-	forward->timer = (timer_entry_t){.fire = forward_tick, .ctx = forward};
-	forward->attempts_most = request->attempts_most
-					 ? MIN(request->attempts_most, route->attempts_most)
-					 : route->attempts_most;
+	forward->state = route_state_of(forwarder, route);
+	route_state_note_caller_wait(forward->state, request->patience_us);
+	forward->timer = (timer_entry_t){.fire = forward_on_timer, .ctx = forward};
+	forward->max_attempts = request->max_attempts
+					? MIN(request->max_attempts, route->max_attempts)
+					: route->max_attempts;
 	forwarder->open++;
 	set_times(forward);
-	lay_out_parts(forward, now_us);
-	/* Read late, after a long turn of the loop: a searcher would work for nobody. */
-	if (forward_left_us(forward, now_us) == 0) {
+	create_parts(forward, now_us);
+	/* The request was read late, after a long pass of the event loop: a searcher would work on
+	 * it for nothing. */
+	if (forward_time_left_us(forward, now_us) == 0) {
 		forward_refuse(forward, FORWARD_TOO_LATE, now_us);
 		return NULL;
 	}
-	lose_impossible(forward);
-	if (forward_settle(forward, now_us))
+	lose_unservable(forward);
+	if (forward_try_answer(forward, now_us))
 		return NULL;
-	if (is_hopeless(forward, now_us)) {
+	if (is_coverage_unreachable(forward, now_us)) {
 		forward_refuse(forward, FORWARD_FULL, now_us);
 		return NULL;
 	}
-	if (!forward_is_careful(forward, now_us))
+	if (!forward_is_suspect(forward, now_us))
 		start_parts(forward, now_us);
-	return forward_go_on(forward, now_us) ? NULL : forward;
+	return forward_advance(forward, now_us) ? NULL : forward;
 }
 
-void forward_allow_more(forward_t *forward, uint32_t more, uint64_t now_us)
+void forward_allow_attempts(forward_t *forward, uint32_t more, uint64_t now_us)
 {
-	uint32_t left = forward->route->attempts_most - forward->attempts_most;
+	uint32_t left = forward->route->max_attempts - forward->max_attempts;
 
-	forward->attempts_most += MIN(more, left);
+	forward->max_attempts += MIN(more, left);
 	for (uint32_t i = 0; i < forward->part_count; i++)
-		part_allow_more(&forward->parts[i], now_us);
-	forward_arm(forward, now_us);
+		part_allow_attempts(&forward->parts[i], now_us);
+	forward_set_timer(forward, now_us);
 }
 
 void forwarder_abandon(forwarder_t *forwarder, forward_t *forward, uint64_t now_us)
 {
-	forwarder->counters.left++;
+	forwarder->counters.callers_left++;
 	forward->finished = true;
-	forward_release(forward, LEFT_US, now_us);
+	forward_release(forward, ABANDONED_CANCEL_US, now_us);
 	forward_free(forward, now_us);
 }
--- a/src/core/top_records.c
+++ b/src/core/top_records.c
@@ -1,28 +1,29 @@
 /**
  * @file top_records.c
- * See top_records.h. A heap with the least kept record on top: most records of a large body are
- * dismissed by one comparison.
+ * See top_records.h. A min-heap of the kept records: most records of a large body are rejected by
+ * one comparison with its root.
  */
 #include "core/top_records.h"
 
 #include <string.h>
 
-/* Bytes in order as two numbers, so that comparing them compares the bytes. */
+/* A record's bytes, read as two big-endian numbers, so that comparing the numbers compares the
+ * bytes. */
 typedef struct record_t {
 	uint64_t high, low;
 } record_t;
 
 struct top_records_t {
-	uint32_t most;
+	uint32_t max;
 	uint32_t count;
 	record_t heap[];
 };
 
-top_records_t *top_records_new(uint32_t most)
+top_records_t *top_records_new(uint32_t max)
 {
-	top_records_t *top = g_malloc(sizeof(*top) + most * sizeof(record_t));
+	top_records_t *top = g_malloc(sizeof(*top) + max * sizeof(record_t));
 
-	top->most = most;
+	top->max = max;
 	top->count = 0;
 	return top;
 }
@@ -73,10 +74,10 @@
 
 static void add_record(top_records_t *top, record_t record)
 {
-	if (top->count < top->most) {
+	if (top->count < top->max) {
 		top->heap[top->count++] = record;
 		sift_up(top, top->count - 1);
-	} else if (top->most && record_less(top->heap[0], record)) {
+	} else if (top->max && record_less(top->heap[0], record)) {
 		sift_down(top, record);
 	}
 }
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -76,7 +76,7 @@
 	play_t *play = ctx;
 
 	g_string_append_printf(play->out, "> answer %s %s retry_after_ms=%d\n",
-			       (char *)handover->owner, forward_end_name(answer->end),
+			       (char *)handover->owner, forward_outcome_name(answer->end),
 			       (int)(answer->retry_after_us / 1000));
 	g_hash_table_remove(play->open, handover->owner);
 }
@@ -221,10 +221,11 @@
 {
 	hop_message_t message = {.type = HOP_ANSWER};
 
-	for (int end = 0; end < FORWARD_ENDS; end++)
-		if (g_str_equal(forward_end_name((forward_end_t)end), words[3]))
-			message.answer.end = (forward_end_t)end;
-	message.answer.retry_after_us = forward_end_status(message.answer.end) == 503 ? 100000 : 0;
+	for (int end = 0; end < FORWARD_OUTCOMES; end++)
+		if (g_str_equal(forward_outcome_name((forward_outcome_t)end), words[3]))
+			message.answer.end = (forward_outcome_t)end;
+	message.answer.retry_after_us =
+		forward_outcome_status(message.answer.end) == 503 ? 100000 : 0;
 	hear(ctx, words[1], words[2], message);
 }
 
@@ -269,7 +270,7 @@
 	handovers_run(play->all, play->now_us);
 }
 
-static const playbook_command_t commands[] = {
+static const script_command_t commands[] = {
 	{"gatherers", do_gatherers}, {"there", do_there},
 	{"request", do_request},     {"taken", do_taken},
 	{"refuses", do_refuses},     {"answer", do_answer},
@@ -280,11 +281,11 @@
 
 int main(void)
 {
-	const playbook_ops_t ops = {.folder = SCRIPTS,
-				    .start = play_new,
-				    .end = play_free,
-				    .commands = commands,
-				    .command_count = G_N_ELEMENTS(commands)};
+	const script_runner_ops_t ops = {.folder = SCRIPTS,
+					 .start = play_new,
+					 .end = play_free,
+					 .commands = commands,
+					 .command_count = G_N_ELEMENTS(commands)};
 
-	return playbook_run("handover", &ops);
+	return script_runner_run("handover", &ops);
 }
