--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -86,8 +86,8 @@
 		answer.retry_after_us = poison_note_refused(forward->forwarder->poison,
 							    forward->request.fingerprint, now_us);
 	else if (end == FORWARD_DEFERRED)
-		answer.retry_after_us = poison_retry_us(forward->forwarder->poison,
-							forward->request.fingerprint, now_us);
+		answer.retry_after_us = poison_retry_delay_us(forward->forwarder->poison,
+							      forward->request.fingerprint, now_us);
 	else if (end == FORWARD_TOO_LATE || end == FORWARD_FULL || end == FORWARD_REJECTED)
 		answer.retry_after_us = come_back_us(forward, LACK_ROOM, now_us);
 	forward_finish(forward, &answer, now_us);
--- a/src/core/forward_private.h
+++ b/src/core/forward_private.h
@@ -74,7 +74,7 @@
 /** Whether what is sent for @p part now is a trial that was claimed. */
 bool forward_is_on_trial(const part_t *part);
 /** The sub-request that was sent alone is over, as @p end says. */
-void forward_probe_over(forward_t *forward, const trial_end_t *end, uint64_t now_us);
+void forward_probe_over(forward_t *forward, const trial_result_t *end, uint64_t now_us);
 /** Give up the parts that are held back. */
 void forward_lose_held(forward_t *forward);
 /** Send one part that is held back, or all of them, or give them up. */
--- a/src/core/forward_suspect.c
+++ b/src/core/forward_suspect.c
@@ -1,36 +1,37 @@
 /**
  * @file forward_suspect.c
- * An attempt at a request under which searchers have ended: when it is sent to one of them, and
- * when it is put off or refused. See poison.h.
+ * Forwarding of suspect requests: when an attempt is sent to a searcher, and when it is deferred or
+ * rejected. See poison.h.
  */
 #include "core/forward_private.h"
 
-/* Most trials are over within this; by then their caller is better told when to come back. */
-#define HELD_MOST_US 300000
-/* What a trial needs of its caller's time: cut short by the deadline, it shows nothing, for its
- * searcher may have been about to end. */
-#define TRIAL_LEAST_US 500000
-/* Where no caller waits for so long. */
-#define TRIAL_LEAST_SHARE 0.75
+/* An attempt is held back for at most this long. Most trials finish within it; after that it is
+ * better to tell the caller when to retry. */
+#define MAX_HOLD_US 300000
+/* Minimum time left until the caller's deadline for a trial. A trial cut short by the deadline is
+ * inconclusive, because the searcher may have been about to crash. */
+#define MIN_TRIAL_US 500000
+/* The same as a share of the route's caller timeout, where no caller waits that long. */
+#define MIN_TRIAL_SHARE 0.75
 
 static poison_verdict_t verdict_of(const forward_t *forward, uint64_t now_us)
 {
-	return poison_judge(forward->forwarder->poison, forward->request.fingerprint, now_us);
+	return poison_check(forward->forwarder->poison, forward->request.fingerprint, now_us);
 }
 
-/* A part that is in shows that searchers survive it, those of its shard at least: from there on the
- * request is like any other, and the record of its other shards stands. */
+/* An answered part shows that searchers survive the request, at least those of its shard. From then
+ * on the request is forwarded like any other; its record for other shards is kept. */
 bool forward_is_careful(const forward_t *forward, uint64_t now_us)
 {
 	return !forward->answered && verdict_of(forward, now_us) != POISON_CLEAR;
 }
 
-/* That of the shard whose searcher ended last, if it is one of them: an answer of another one would
- * say nothing. */
+/* Prefers the held-back part of the shard whose searcher crashed last: an answer from another shard
+ * would prove nothing. */
 static part_t *held_part(const forward_t *forward)
 {
 	const char *service =
-		poison_service(forward->forwarder->poison, forward->request.fingerprint);
+		poison_last_service(forward->forwarder->poison, forward->request.fingerprint);
 	part_t *held = NULL;
 
 	for (uint32_t i = 0; i < forward->part_count; i++) {
@@ -62,57 +63,60 @@
 
 static bool has_time_for_trial(const forward_t *forward, uint64_t now_us)
 {
-	double least_us = MIN(TRIAL_LEAST_US, forward->state->patience_us * TRIAL_LEAST_SHARE);
+	double least_us = MIN(MIN_TRIAL_US, forward->state->patience_us * MIN_TRIAL_SHARE);
 
 	return (double)forward_left_us(forward, now_us) >= least_us;
 }
 
-static void ask_turn(forward_t *forward, uint64_t now_us)
+static void request_permission(forward_t *forward, uint64_t now_us)
 {
-	trial_turn_t turn = poison_turn(forward->forwarder->poison, forward->request.fingerprint,
-					has_time_for_trial(forward, now_us), now_us);
+	trial_decision_t decision =
+		poison_decide(forward->forwarder->poison, forward->request.fingerprint,
+			      has_time_for_trial(forward, now_us), now_us);
 
-	forward->has_trial = turn == TRIAL_GO;
-	forward->has_turn = turn == TRIAL_GO || turn == TRIAL_NONE;
+	forward->has_trial = decision == TRIAL_BEGIN;
+	forward->has_turn = decision == TRIAL_BEGIN || decision == TRIAL_NOT_NEEDED;
 	if (!forward->held_from_us)
 		forward->held_from_us = now_us;
-	if (turn == TRIAL_LATER ||
-	    (turn == TRIAL_WAIT && now_us >= forward->held_from_us + HELD_MOST_US))
+	if (decision == TRIAL_RETRY_LATER ||
+	    (decision == TRIAL_WAIT && now_us >= forward->held_from_us + MAX_HOLD_US))
 		forward->has_lost_turn = true;
 }
 
-static bool has_claimed(const forward_t *forward)
+static bool has_claimed_trial(const forward_t *forward)
 {
 	return forward->has_trial &&
-	       poison_is_on_trial(forward->forwarder->poison, forward->request.fingerprint);
+	       poison_has_claimed_trial(forward->forwarder->poison, forward->request.fingerprint);
 }
 
 bool forward_is_on_trial(const part_t *part)
 {
-	return part->forward->probe == part && has_claimed(part->forward);
+	return part->forward->probe == part && has_claimed_trial(part->forward);
 }
 
 /*
- * One that was claimed is the only one of its attempt, whatever came of it. One that was answered
- * needs no other: kept to the attempt's end, its turn would end that of whoever has it by then.
+ * A claimed trial is the only one of its attempt, whatever its result. An answered trial needs no
+ * further one: if the attempt kept its permission to send until its end, that end would finish the
+ * trial of another attempt which has the permission by then.
  */
-void forward_probe_over(forward_t *forward, const trial_end_t *end, uint64_t now_us)
+void forward_probe_over(forward_t *forward, const trial_result_t *end, uint64_t now_us)
 {
 	forward->probe = NULL;
-	if (!end->ran || !forward->has_trial || (!forward->answered && !has_claimed(forward)))
+	if (!end->ran || !forward->has_trial || (!forward->answered && !has_claimed_trial(forward)))
 		return;
 	forward->has_turn = forward->has_trial = false;
-	poison_trial_over(forward->forwarder->poison, forward->request.fingerprint, end, now_us);
+	poison_trial_finished(forward->forwarder->poison, forward->request.fingerprint, end,
+			      now_us);
 }
 
-/* A searcher that is sent a request without hope of an answer may end for nothing. */
-static bool has_hope(const forward_t *forward)
+/* Sending a request that cannot reach its coverage any more would risk a searcher for nothing. */
+static bool can_reach_coverage(const forward_t *forward)
 {
 	return !forward->route->gathers ||
 	       forward_has_enough(forward, forward->part_count - forward->lost);
 }
 
-/* Send one held part alone, once it is this attempt's turn. */
+/* Sends one held-back part alone once this attempt has permission to send. */
 static void probe(forward_t *forward, uint64_t now_us)
 {
 	part_t *part = held_part(forward);
@@ -121,8 +125,8 @@
 	if (forward->probe || placement_is_all_probed(&candidates))
 		return;
 	if (!forward->has_turn)
-		ask_turn(forward, now_us);
-	while (forward->has_turn && !forward->probe && has_hope(forward) &&
+		request_permission(forward, now_us);
+	while (forward->has_turn && !forward->probe && can_reach_coverage(forward) &&
 	       (part = held_part(forward))) {
 		forward->probe = part;
 		part_go_on(part, now_us);
@@ -152,7 +156,7 @@
 	return blocked ? FORWARD_BLOCKED : FORWARD_DEFERRED;
 }
 
-/* Whether the sub-request that was sent alone is still out. */
+/* Whether the sub-request that was sent alone is still in flight. */
 static bool has_probe_out(const forward_t *forward)
 {
 	return forward->probe && forward->probe->out && forward->probe->out->len;
@@ -160,13 +164,14 @@
 
 void forward_end_trial(const forward_t *forward, uint64_t now_us)
 {
-	trial_end_t end = {.outcome = "not-sent", .searcher = ""};
+	trial_result_t result = {.outcome = "not-sent", .searcher = ""};
 
 	if (has_probe_out(forward)) {
 		const sub_t *sub = g_ptr_array_index(forward->probe->out, 0);
 
-		end = (trial_end_t){
+		result = (trial_result_t){
 			.ran = true, .outcome = "given-up", .searcher = sub->searcher->id};
 	}
-	poison_trial_over(forward->forwarder->poison, forward->request.fingerprint, &end, now_us);
+	poison_trial_finished(forward->forwarder->poison, forward->request.fingerprint, &result,
+			      now_us);
 }
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -175,7 +175,7 @@
 	poison_t *poison = forwarder->poison;
 	const poison_sending_t sending = {.sent_us = sub->sending.sent_us,
 					  .on_trial = sub->on_trial,
-					  .kept = !sub->connects,
+					  .reused = !sub->connects,
 					  .answered = sub->forward && sub->forward->answered};
 
 	switch (reply->end) {
@@ -214,7 +214,7 @@
 
 bool forwarder_blocks(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us)
 {
-	return poison_judge(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
+	return poison_check(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
 }
 
 /* Another searcher at its address tells its own. */
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -385,9 +385,9 @@
 	if (forward->probe == part)
 		forward_probe_over(
 			forward,
-			&(trial_end_t){.ran = !has_not_run(end),
-				       .outcome = reply->broken ? "broken" : sub_end_name(end),
-				       .searcher = sub->searcher->id},
+			&(trial_result_t){.ran = !has_not_run(end),
+					  .outcome = reply->broken ? "broken" : sub_end_name(end),
+					  .searcher = sub->searcher->id},
 			now_us);
 	part_keep(part, reply);
 	if (part->out->len) /* another one is out: its end decides */
@@ -422,9 +422,9 @@
 		hedge_others(part, now_us);
 	if (part->forward->probe == part)
 		forward_probe_over(part->forward,
-				   &(trial_end_t){.ran = true,
-						  .outcome = "answered",
-						  .searcher = sub->searcher->id},
+				   &(trial_result_t){.ran = true,
+						     .outcome = "answered",
+						     .searcher = sub->searcher->id},
 				   now_us);
 	for (guint i = 0; i < part->out->len; i++)
 		((sub_t *)g_ptr_array_index(part->out, i))->served = true;
--- a/src/core/poison.c
+++ b/src/core/poison.c
@@ -1,19 +1,20 @@
 /**
  * @file poison.c
- * The records, their strikes and what follows of them. See poison.h.
+ * Records of suspect requests, their strikes, and the verdicts. See poison.h.
  */
 #include "core/poison_private.h"
 
-/* A suspect that comes again within this is recognised. */
-#define SUSPECT_KEEP_US (10 * 60 * 1000000ull)
-/* All VMs forget at about the same time; the first one tells the store, and the others hear it. */
-#define FORGET_SPREAD_US 60000000
-/* How soon a refused request is tried once more: what ended searchers beside it is over by then,
- * and those that ended are back. */
-#define PAROLE_US 10000000
-/* After so many trials that reached a searcher one more is as late as a block is long, also if some
- * of them showed nothing: each may have cost a searcher. */
-#define TRIALS_MOST 3
+/* How long the record of a suspect is kept after its last strike. */
+#define SUSPECT_RETENTION_US (10 * 60 * 1000000ull)
+/* Records expire on all VMs at about the same time. With jitter one VM is first and removes the
+ * request from the store, and the others receive the removal. */
+#define EXPIRY_JITTER_US 60000000
+/* Delay before the retrial of a blocked request. By then a concurrent event that terminated
+ * searchers is over, and those searchers have restarted. */
+#define RETRIAL_DELAY_US 10000000
+/* Once this many trials have reached a searcher, the retrial of a blocked request waits for the
+ * duration of a block, even if some trials were inconclusive: each may have crashed a searcher. */
+#define MAX_EARLY_TRIALS 3
 
 static void record_free(void *data)
 {
@@ -54,26 +55,26 @@
 	return g_hash_table_lookup(poison->records, &fingerprint);
 }
 
-poison_news_t poison_news_of(const record_t *record)
+poison_update_t poison_update_of(const record_t *record)
 {
-	return (poison_news_t){.fingerprint = record->fingerprint,
-			       .strikes = record->strikes,
-			       .renewals = record->renewals,
-			       .trials = record->trial.done,
-			       .ran = record->trial.ran,
-			       .service = record->service ? record->service : ""};
+	return (poison_update_t){.fingerprint = record->fingerprint,
+				 .strikes = record->strikes,
+				 .renewals = record->renewals,
+				 .trials = record->trial.done,
+				 .ran = record->trial.ran,
+				 .service = record->service ? record->service : ""};
 }
 
-void poison_say(const record_t *record, const char *what)
+void poison_log_change(const record_t *record, const char *what)
 {
 	const poison_t *poison = record->poison;
-	const poison_news_t news = poison_news_of(record);
+	const poison_update_t update = poison_update_of(record);
 
 	if (poison->ops)
-		poison->ops->changed(poison->ctx, &news, what);
+		poison->ops->changed(poison->ctx, &update, what);
 }
 
-void poison_record_drop(record_t *record)
+void poison_record_remove(record_t *record)
 {
 	g_hash_table_remove(record->poison->records, &record->fingerprint);
 }
@@ -87,15 +88,15 @@
 		poison->ops->drop_claims(poison->ctx, record->fingerprint, claimed);
 }
 
-void poison_record_forget(record_t *record, const char *why)
+void poison_record_remove_shared(record_t *record, const char *why)
 {
 	const poison_t *poison = record->poison;
 
-	poison_say(record, why);
+	poison_log_change(record, why);
 	if (record->stored && poison->ops)
-		poison->ops->forget(poison->ctx, record->fingerprint);
+		poison->ops->remove(poison->ctx, record->fingerprint);
 	drop_claims(record);
-	poison_record_drop(record);
+	poison_record_remove(record);
 }
 
 bool poison_record_is_empty(const record_t *record)
@@ -103,33 +104,35 @@
 	return !record->strikes && !record->loss_count;
 }
 
-/* Three ends may be chance, of a request that many ask for. One more is not. */
-static bool is_parole_due(const record_t *record, uint64_t now_us)
+/* Three crashes may be a coincidence for a request that many callers send. A fourth is not. */
+static bool is_retrial_due(const record_t *record, uint64_t now_us)
 {
 	return record->strikes == POISON_STRIKES && trial_is_due(&record->trial, now_us);
 }
 
 static bool is_blocked(const record_t *record, uint64_t now_us)
 {
-	return record->strikes >= POISON_STRIKES && now_us < record->held_us + BLOCK_US &&
-	       !is_parole_due(record, now_us);
+	return record->strikes >= POISON_STRIKES &&
+	       now_us < record->period_start_us + BLOCK_DURATION_US &&
+	       !is_retrial_due(record, now_us);
 }
 
 void poison_record_arm(record_t *record)
 {
-	uint64_t next_us = record->strikes ? record->forget_us : TIMERS_NEVER;
+	uint64_t next_us = record->strikes ? record->expires_us : TIMERS_NEVER;
 
 	next_us = MIN(next_us, poison_losses_next_us(record));
-	if (record->tell_us)
-		next_us = MIN(next_us, record->tell_us);
+	if (record->publish_us)
+		next_us = MIN(next_us, record->publish_us);
 	timers_set(&record->poison->timers, &record->timer, next_us);
 }
 
-/* Whoever sends many such requests must not make a VM forget those that it refuses, as long as it
- * knows others. What all VMs have forgotten must not stay in the store for good. */
-static void forget_least(poison_t *poison)
+/* Evicts the record with the fewest strikes, and of those the oldest: a caller that sends many
+ * poison requests must not evict blocked ones while others can be evicted. The request is also
+ * removed from the store, where it would otherwise stay forever once all VMs have evicted it. */
+static void evict_one(poison_t *poison)
 {
-	record_t *least = NULL;
+	record_t *victim = NULL;
 	GHashTableIter iter;
 	gpointer value;
 
@@ -137,12 +140,13 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		record_t *record = value;
 
-		if (!least || record->strikes < least->strikes ||
-		    (record->strikes == least->strikes && record->held_us < least->held_us))
-			least = record;
+		if (!victim || record->strikes < victim->strikes ||
+		    (record->strikes == victim->strikes &&
+		     record->period_start_us < victim->period_start_us))
+			victim = record;
 	}
 	poison->counters.dropped++;
-	poison_record_forget(least, "dropped");
+	poison_record_remove_shared(victim, "dropped");
 }
 
 static void on_timer(void *ctx, uint64_t now_us);
@@ -153,8 +157,8 @@
 
 	if (record)
 		return record;
-	if (g_hash_table_size(poison->records) >= POISON_RECORDS_MOST)
-		forget_least(poison);
+	if (g_hash_table_size(poison->records) >= POISON_MAX_RECORDS)
+		evict_one(poison);
 	record = g_new0(record_t, 1);
 	record->poison = poison;
 	record->fingerprint = fingerprint;
@@ -163,15 +167,15 @@
 	return record;
 }
 
-void poison_record_hold(record_t *record, uint64_t from_us)
+void poison_record_retain(record_t *record, uint64_t from_us)
 {
-	uint64_t keep_us = SUSPECT_KEEP_US;
+	uint64_t retention_us = SUSPECT_RETENTION_US;
 
 	if (record->strikes >= POISON_STRIKES)
-		keep_us += BLOCK_US;
-	record->held_us = from_us;
-	record->forget_us = from_us + keep_us +
-			    (uint64_t)g_rand_int_range(record->poison->rand, 0, FORGET_SPREAD_US);
+		retention_us += BLOCK_DURATION_US;
+	record->period_start_us = from_us;
+	record->expires_us = from_us + retention_us +
+			     (uint64_t)g_rand_int_range(record->poison->rand, 0, EXPIRY_JITTER_US);
 }
 
 /* ---- strikes ---- */
@@ -182,19 +186,20 @@
 	record->struck_us = at_us;
 	g_free(record->service);
 	record->service = g_strdup(service);
-	poison_record_hold(record, at_us);
-	/* The first strike needs no trial. */
+	poison_record_retain(record, at_us);
+	/* The first strike comes without a trial. */
 	if (strikes > 1)
-		trial_note_ends(&record->trial, strikes - 1, at_us);
+		trial_note_crashes(&record->trial, strikes - 1, at_us);
 	if (strikes >= POISON_STRIKES)
-		trial_delay(&record->trial, at_us + PAROLE_US);
+		trial_postpone(&record->trial, at_us + RETRIAL_DELAY_US);
 }
 
-/* That a trial is over may be known before the end of its searcher, or after. */
-void poison_note_trials(record_t *record)
+/* Called for strikes and for finished trials: a trial may be reported before or after the crash of
+ * its searcher. */
+void poison_limit_trials(record_t *record)
 {
-	if (record->strikes >= POISON_STRIKES && record->trial.ran >= TRIALS_MOST)
-		trial_delay(&record->trial, record->struck_us + BLOCK_US);
+	if (record->strikes >= POISON_STRIKES && record->trial.ran >= MAX_EARLY_TRIALS)
+		trial_postpone(&record->trial, record->struck_us + BLOCK_DURATION_US);
 }
 
 /* ---- time ---- */
@@ -205,15 +210,15 @@
 
 	poison_losses_expire(record, now_us);
 	if (poison_record_is_empty(record)) {
-		poison_record_drop(record);
+		poison_record_remove(record);
 		return;
 	}
-	if (record->strikes && now_us >= record->forget_us) {
-		poison_record_forget(record, "forgotten");
+	if (record->strikes && now_us >= record->expires_us) {
+		poison_record_remove_shared(record, "forgotten");
 		return;
 	}
-	if (record->tell_us && now_us >= record->tell_us)
-		poison_tell(record);
+	if (record->publish_us && now_us >= record->publish_us)
+		poison_publish(record);
 	poison_record_arm(record);
 }
 
@@ -227,14 +232,14 @@
 	timers_run(&poison->timers, now_us);
 }
 
-/* ---- what follows ---- */
+/* ---- decisions ---- */
 
 static bool is_suspect(const record_t *record)
 {
-	return record->strikes > 0 || poison_losses_accuse(record);
+	return record->strikes > 0 || poison_losses_suggest_crash(record);
 }
 
-poison_verdict_t poison_judge(const poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
+poison_verdict_t poison_check(const poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
 {
 	const record_t *record = poison_record_find(poison, fingerprint);
 
@@ -243,7 +248,7 @@
 	return is_blocked(record, now_us) ? POISON_BLOCKED : POISON_SUSPECT;
 }
 
-const char *poison_service(const poison_t *poison, fingerprint_t fingerprint)
+const char *poison_last_service(const poison_t *poison, fingerprint_t fingerprint)
 {
 	const record_t *record = poison_record_find(poison, fingerprint);
 
@@ -256,16 +261,16 @@
 
 	if (!record || !is_blocked(record, now_us))
 		return 0;
-	if (now_us >= record->held_us + BLOCK_US / 2) {
+	if (now_us >= record->period_start_us + BLOCK_DURATION_US / 2) {
 		record->renewals++;
-		record->tell_us = now_us;
-		poison_record_hold(record, now_us);
+		record->publish_us = now_us;
+		poison_record_retain(record, now_us);
 		poison_record_arm(record);
 	}
 	if (record->strikes == POISON_STRIKES)
-		return MIN(poison_retry_us(poison, fingerprint, now_us),
-			   record->held_us + BLOCK_US - now_us);
-	return record->held_us + BLOCK_US - now_us;
+		return MIN(poison_retry_delay_us(poison, fingerprint, now_us),
+			   record->period_start_us + BLOCK_DURATION_US - now_us);
+	return record->period_start_us + BLOCK_DURATION_US - now_us;
 }
 
 uint32_t poison_records(const poison_t *poison)
--- a/src/core/poison_losses.c
+++ b/src/core/poison_losses.c
@@ -1,28 +1,29 @@
 /**
  * @file poison_losses.c
- * Connections that broke under a request, until it is known whether their searchers ended: what
- * counts as proof against it, and what explains it away. See poison.h.
+ * Connections that were lost while a request was in flight, until it is known whether their
+ * searchers terminated: which losses count as strikes, and which are discarded. See poison.h.
  */
 #include "core/poison_private.h"
 
-/* Whether a searcher that broke a connection still listens is known after a connect, 0.4 s at most;
- * one that starts again is registered a few seconds later. */
-#define LOSS_KEEP_US 10000000
+/* A connect shows within 0.4 s whether the searcher still listens. A restarted searcher is
+ * registered a few seconds later. */
+#define LOSS_RETENTION_US 10000000
 /*
- * Searchers that end under a request that is not suspect yet end within some tenths of a second of
- * each other, through its hedges and its caller's retry. A request beside it that is sent again at
- * once may meet the next of them: without this gap after the first strike it would be refused like
- * the one that did it. Later ones end one by one.
+ * Before a poison request is suspect, its hedges and its caller's retry crash several searchers
+ * within some tenths of a second. An innocent concurrent request that is retried at once may reach
+ * the next of those searchers: without this gap after the first strike it would be blocked like the
+ * poison request. Later crashes happen one at a time.
  */
-#define STRIKE_GAP_US 1000000
+#define STRIKE_MIN_GAP_US 1000000
 /*
- * A request that many callers ask for is nearly always at some searcher when one ends, and would
- * soon be at two in a row. One that was answered whole a moment before has crashed none of them. If
- * it turns bad later, with another version of the searchers, that is seen so much later.
+ * A request that many callers send is nearly always in flight when a searcher terminates, and would
+ * soon be so twice in a row. A request of which all parts were answered this recently did not crash
+ * the searcher. If it becomes a poison request, with another version of the searchers, that is
+ * detected later by this time.
  */
-#define SERVED_KEEP_US 5000000
+#define SERVED_VALID_US 5000000
 
-/* ---- what is kept of each ---- */
+/* ---- unresolved losses ---- */
 
 static void remove_loss(record_t *record, uint32_t index)
 {
@@ -40,20 +41,20 @@
 void poison_losses_expire(record_t *record, uint64_t now_us)
 {
 	for (uint32_t i = record->loss_count; i-- > 0;)
-		if (now_us >= record->losses[i].lost_us + LOSS_KEEP_US)
+		if (now_us >= record->losses[i].lost_us + LOSS_RETENTION_US)
 			remove_loss(record, i);
 }
 
 uint64_t poison_losses_next_us(const record_t *record)
 {
-	uint64_t first_us = UINT64_MAX - LOSS_KEEP_US;
+	uint64_t first_us = UINT64_MAX - LOSS_RETENTION_US;
 
 	for (uint32_t i = 0; i < record->loss_count; i++)
 		first_us = MIN(first_us, record->losses[i].lost_us);
-	return first_us + LOSS_KEEP_US;
+	return first_us + LOSS_RETENTION_US;
 }
 
-bool poison_losses_accuse(const record_t *record)
+bool poison_losses_suggest_crash(const record_t *record)
 {
 	for (uint32_t i = 0; i < record->loss_count; i++)
 		if (!record->losses[i].listens)
@@ -61,12 +62,12 @@
 	return false;
 }
 
-/* What became known of the searcher of one loss, and what follows of it. */
-typedef void (*loss_visit_f)(record_t *record, uint32_t index, uint64_t now_us);
+/* Handles one loss once the state of its searcher is known. */
+typedef void (*loss_visitor_f)(record_t *record, uint32_t index, uint64_t now_us);
 
-/* All losses at one searcher that were noted by @p until_us. */
+/* Calls @p visit for all losses at @p searcher that happened by @p until_us. */
 static void visit_losses(const poison_t *poison, const searcher_t *searcher, uint64_t until_us,
-			 loss_visit_f visit, uint64_t now_us)
+			 loss_visitor_f visit, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -92,60 +93,62 @@
 	}
 }
 
-/* ---- the searcher has ended ---- */
+/* ---- the searcher terminated ---- */
 
 /*
- * What was sent before the request was suspect may have been lost at several searchers, one after
- * the other, and be explained all at once: together they make it suspect, and no more. Behind a
- * proxy that accepts for a searcher that has ended, a new connection breaks under any trial.
+ * Sub-requests sent before the request was suspect may have been lost at several searchers, one
+ * after the other, and be resolved all at once: together they make the request suspect, and add no
+ * further strike. Behind a proxy that accepts connections for a terminated searcher, a new
+ * connection is lost during any trial, so that loss adds no strike either.
  */
-static bool counts(const record_t *record, const loss_t *loss)
+static bool adds_strike(const record_t *record, const loss_t *loss)
 {
-	uint64_t gap_us = record->strikes == 1 ? STRIKE_GAP_US : 0;
+	uint64_t gap_us = record->strikes == 1 ? STRIKE_MIN_GAP_US : 0;
 
 	if (!record->strikes)
 		return true;
-	if (!loss->sending.on_trial || (loss->listens && !loss->sending.kept))
+	if (!loss->sending.on_trial || (loss->listens && !loss->sending.reused))
 		return false;
 	return loss->sending.sent_us >= record->struck_us + gap_us;
 }
 
 static void strike(record_t *record, const loss_t *loss, uint64_t now_us)
 {
-	record->unanswered_ends += !loss->sending.answered;
-	if (!counts(record, loss)) {
-		poison_note_more_ends(record, now_us);
+	record->unanswered_crashes += !loss->sending.answered;
+	if (!adds_strike(record, loss)) {
+		poison_note_further_crash(record, now_us);
 		return;
 	}
 	record->poison->counters.strikes++;
 	poison_set_strikes(record, record->strikes + 1, loss->searcher->service, loss->lost_us);
-	poison_note_trials(record);
-	record->tell_us = poison_next_tell_us(record->poison, record, now_us);
-	poison_say(record, record->strikes >= POISON_STRIKES ? "blocked" : "suspected");
+	poison_limit_trials(record);
+	record->publish_us = poison_next_publish_us(record->poison, record, now_us);
+	poison_log_change(record, record->strikes >= POISON_STRIKES ? "blocked" : "suspected");
 }
 
-/* One that something listened for after the loss has ended later, unless a newer start of it says
- * that it was a proxy that did. */
-static bool tells(const loss_t *loss)
+/* If the address still accepted connections after the loss, the searcher terminated later and the
+ * loss is no evidence. The exception is a searcher of which a newer incarnation is registered: then
+ * a proxy accepted the connections. */
+static bool is_crash_evidence(const loss_t *loss)
 {
 	return !loss->listens || loss->searcher->state == SEARCHER_ENDED;
 }
 
-static void explain(record_t *record, uint32_t index, uint64_t now_us)
+static void resolve_terminated(record_t *record, uint32_t index, uint64_t now_us)
 {
-	if (tells(&record->losses[index]))
+	if (is_crash_evidence(&record->losses[index]))
 		strike(record, &record->losses[index], now_us);
 	remove_loss(record, index);
 }
 
 void poison_note_ended(poison_t *poison, const searcher_t *searcher, uint64_t now_us)
 {
-	visit_losses(poison, searcher, UINT64_MAX, explain, now_us);
+	visit_losses(poison, searcher, UINT64_MAX, resolve_terminated, now_us);
 }
 
-/* ---- or it has not ---- */
+/* ---- the searcher is alive ---- */
 
-static void drop(record_t *record, uint32_t index, uint64_t now_us)
+static void resolve_alive(record_t *record, uint32_t index, uint64_t now_us)
 {
 	(void)now_us;
 	remove_loss(record, index);
@@ -153,11 +156,12 @@
 
 void poison_note_alive(poison_t *poison, const searcher_t *searcher, uint64_t since_us)
 {
-	visit_losses(poison, searcher, since_us, drop, since_us);
+	visit_losses(poison, searcher, since_us, resolve_alive, since_us);
 }
 
-/* Where a proxy stands before the searchers, it accepts whether they live or not. What is lost then
- * makes no suspect, and counts all the same when a newer start of the searcher is known. */
+/* A proxy in front of the searchers accepts connections whether they are alive or not. Such a loss
+ * does not make the request suspect, but still counts once a newer incarnation of the searcher is
+ * known. */
 static void note_listens(record_t *record, uint32_t index, uint64_t now_us)
 {
 	(void)now_us;
@@ -171,16 +175,16 @@
 
 /* ---- the request itself ---- */
 
-bool poison_was_served(const poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
+bool poison_was_served_recently(const poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
 {
-	const served_t *served = &poison->served[fingerprint % SERVED_MOST];
+	const served_t *served = &poison->served[fingerprint % SERVED_SLOTS];
 
-	return served->fingerprint == fingerprint && now_us < served->at_us + SERVED_KEEP_US;
+	return served->fingerprint == fingerprint && now_us < served->at_us + SERVED_VALID_US;
 }
 
 void poison_note_served(poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
 {
-	poison->served[fingerprint % SERVED_MOST] =
+	poison->served[fingerprint % SERVED_SLOTS] =
 		(served_t){.fingerprint = fingerprint, .at_us = now_us};
 }
 
@@ -189,10 +193,10 @@
 {
 	record_t *record;
 
-	if (!fingerprint || poison_was_served(poison, fingerprint, now_us))
+	if (!fingerprint || poison_was_served_recently(poison, fingerprint, now_us))
 		return;
 	record = poison_record_add(poison, fingerprint);
-	if (record->loss_count < LOSSES_MOST) {
+	if (record->loss_count < MAX_LOSSES) {
 		record->losses[record->loss_count++] = (loss_t){
 			.searcher = searcher_ref(searcher), .sending = *sending, .lost_us = now_us};
 		poison->losses++;
@@ -202,7 +206,8 @@
 		poison_note_ended(poison, searcher, now_us);
 }
 
-/* Answers of other services say nothing: a request may crash the searchers of one shard only. */
+/* Answers of other services are no evidence: a request may crash the searchers of one shard only.
+ */
 void poison_note_answered(poison_t *poison, fingerprint_t fingerprint, const char *service,
 			  uint64_t now_us)
 {
@@ -215,9 +220,9 @@
 			remove_loss(record, i);
 	if (record->strikes && g_str_equal(record->service, service)) {
 		poison->counters.cleared++;
-		poison_say_trial(record, "answered", "", now_us);
-		poison_record_forget(record, "cleared");
+		poison_log_trial(record, "answered", "", now_us);
+		poison_record_remove_shared(record, "cleared");
 	} else if (poison_record_is_empty(record)) {
-		poison_record_drop(record);
+		poison_record_remove(record);
 	}
 }
--- a/src/core/poison_trials.c
+++ b/src/core/poison_trials.c
@@ -1,35 +1,35 @@
 /**
  * @file poison_trials.c
- * Who may send a suspect request to a searcher, of the attempts at it. See poison.h and trial.h.
+ * Decides which attempt at a suspect request may send it to a searcher. See poison.h and trial.h.
  */
 #include "core/poison_private.h"
 
-/* Copies of a request that lost a connection for a reason that is not known yet. */
+/* Minimum gap between copies of a request that has an unresolved connection loss. */
 #define PROBE_GAP_US 50000
-/* What a VM may claim: a burst, and then steadily. With hundreds of suspects the store still has
- * most of its writes for others. */
+/* Rate limit for a VM's claims: with hundreds of suspects, most of the store's write capacity is
+ * left for other writes. */
 #define CLAIM_BURST 4
 #define CLAIM_PERIOD_US 100000
-/* For so long a trial that is due waits for a caller with more time left. */
-#define SHORT_AFTER_US 3000000
-/* An attempt that finds another one on trial: most take less. */
-#define TRIAL_USUAL_US 250000
+/* A trial that has been due for this long no longer waits for a caller with enough time left. */
+#define ANY_CALLER_AFTER_US 3000000
+/* Retry delay of an attempt while another one is on trial: most trials take less. */
+#define TYPICAL_TRIAL_US 250000
 
-static const char *why_tried(const record_t *record)
+static const char *trial_reason(const record_t *record)
 {
 	if (record->trial.unclaimed)
 		return "store-silent";
 	return record->strikes >= POISON_STRIKES ? "refused" : "suspect";
 }
 
-void poison_say_trial(const record_t *record, const char *outcome, const char *searcher,
+void poison_log_trial(const record_t *record, const char *outcome, const char *searcher,
 		      uint64_t now_us)
 {
 	const poison_t *poison = record->poison;
 	const poison_trial_t trial = {.fingerprint = record->fingerprint,
 				      .number = record->trial.number,
 				      .strikes = record->strikes,
-				      .why = why_tried(record),
+				      .why = trial_reason(record),
 				      .outcome = outcome,
 				      .searcher = searcher,
 				      .took_us = now_us - record->trial.since_us};
@@ -46,23 +46,24 @@
 	return true;
 }
 
-/* Whether no other VM has heard of it: it was struck here, a moment ago. */
-static bool is_untold(const record_t *record)
+/* Whether no other VM knows of the suspect: its only strike was noted on this VM and is not
+ * published yet. */
+static bool is_unpublished(const record_t *record)
 {
-	return !record->stored && record->strikes == 1 && record->tell_us;
+	return !record->stored && record->strikes == 1 && record->publish_us;
 }
 
 static bool take_claim_slot(poison_t *poison, uint64_t now_us)
 {
-	const store_pace_t pace = {CLAIM_BURST, CLAIM_PERIOD_US};
+	const store_rate_t rate = {CLAIM_BURST, CLAIM_PERIOD_US};
 
-	if (poison_pace_next_us(&pace, poison->claim_slot_us, now_us) > now_us)
+	if (poison_rate_next_us(&rate, poison->claim_slot_us, now_us) > now_us)
 		return false;
-	poison_pace_take(&pace, &poison->claim_slot_us, now_us);
+	poison_rate_take(&rate, &poison->claim_slot_us, now_us);
 	return true;
 }
 
-static void claim(record_t *record, uint64_t now_us)
+static void claim_trial(record_t *record, uint64_t now_us)
 {
 	poison_t *poison = record->poison;
 
@@ -71,67 +72,68 @@
 	if (poison->ops && poison->ops->claim)
 		poison->ops->claim(poison->ctx, record->fingerprint, record->trial.number);
 	else
-		trial_claimed(&record->trial, record->trial.number, CLAIM_GRANTED, now_us);
+		trial_claim_done(&record->trial, record->trial.number, CLAIM_GRANTED, now_us);
 }
 
-static void begin(record_t *record, uint64_t now_us)
+static void note_trial_begun(record_t *record, uint64_t now_us)
 {
 	record->poison->counters.trials++;
-	poison_say_trial(record, "begun", "", now_us);
+	poison_log_trial(record, "begun", "", now_us);
 }
 
-/* All its callers may be in a hurry. */
-static bool is_long_due(const record_t *record, uint64_t now_us)
+/* Without this limit a suspect whose callers all have little time left would never be tried. */
+static bool is_overdue(const record_t *record, uint64_t now_us)
 {
-	return now_us >= MAX(record->trial.next_us, record->struck_us) + SHORT_AFTER_US;
+	return now_us >= MAX(record->trial.next_us, record->struck_us) + ANY_CALLER_AFTER_US;
 }
 
-trial_turn_t poison_turn(poison_t *poison, fingerprint_t fingerprint, bool has_time,
-			 uint64_t now_us)
+trial_decision_t poison_decide(poison_t *poison, fingerprint_t fingerprint, bool has_time,
+			       uint64_t now_us)
 {
 	record_t *record = poison_record_find(poison, fingerprint);
-	trial_turn_t turn;
+	trial_decision_t decision;
 
 	if (!record)
-		return TRIAL_NONE;
+		return TRIAL_NOT_NEEDED;
 	if (!record->strikes)
-		return may_probe(record, now_us) ? TRIAL_NONE : TRIAL_WAIT;
-	if (is_untold(record) && trial_take_free(&record->trial))
-		return TRIAL_GO;
-	if (!has_time && !is_long_due(record, now_us))
-		return TRIAL_LATER;
-	turn = trial_turn(&record->trial, now_us);
-	if (turn == TRIAL_CLAIM && !take_claim_slot(poison, now_us))
+		return may_probe(record, now_us) ? TRIAL_NOT_NEEDED : TRIAL_WAIT;
+	if (is_unpublished(record) && trial_begin_local(&record->trial))
+		return TRIAL_BEGIN;
+	if (!has_time && !is_overdue(record, now_us))
+		return TRIAL_RETRY_LATER;
+	decision = trial_decide(&record->trial, now_us);
+	if (decision == TRIAL_MAY_CLAIM && !take_claim_slot(poison, now_us))
 		return TRIAL_WAIT;
-	if (turn == TRIAL_CLAIM) {
-		claim(record, now_us);
-		turn = trial_turn(&record->trial, now_us);
+	if (decision == TRIAL_MAY_CLAIM) {
+		claim_trial(record, now_us);
+		decision = trial_decide(&record->trial, now_us);
 	}
-	if (turn == TRIAL_GO)
-		begin(record, now_us);
-	return turn;
+	if (decision == TRIAL_BEGIN)
+		note_trial_begun(record, now_us);
+	return decision;
 }
 
-void poison_claimed(poison_t *poison, fingerprint_t fingerprint, uint32_t number,
-		    claim_reply_t reply, uint64_t now_us)
+void poison_claim_done(poison_t *poison, fingerprint_t fingerprint, uint32_t number,
+		       claim_reply_t reply, uint64_t now_us)
 {
 	record_t *record = poison_record_find(poison, fingerprint);
 
 	if (record)
-		trial_claimed(&record->trial, number, reply, now_us);
+		trial_claim_done(&record->trial, number, reply, now_us);
 	else if (reply == CLAIM_GRANTED && poison->ops && poison->ops->drop_claims)
-		poison->ops->drop_claims(poison->ctx, fingerprint, number); /* cleared meanwhile */
+		poison->ops->drop_claims(poison->ctx, fingerprint,
+					 number); /* cleared in the meantime */
 }
 
-bool poison_is_on_trial(const poison_t *poison, fingerprint_t fingerprint)
+bool poison_has_claimed_trial(const poison_t *poison, fingerprint_t fingerprint)
 {
 	const record_t *record = poison_record_find(poison, fingerprint);
 
 	return record && trial_is_counted(&record->trial);
 }
 
-void poison_trial_over(poison_t *poison, fingerprint_t fingerprint, const trial_end_t *end,
-		       uint64_t now_us)
+void poison_trial_finished(poison_t *poison, fingerprint_t fingerprint,
+			   const trial_result_t *result, uint64_t now_us)
 {
 	record_t *record = poison_record_find(poison, fingerprint);
 	bool counted;
@@ -139,20 +141,20 @@
 	if (!record)
 		return;
 	counted = trial_is_counted(&record->trial);
-	poison_say_trial(record, end->outcome, end->searcher, now_us);
-	trial_over(&record->trial, end->ran, now_us);
+	poison_log_trial(record, result->outcome, result->searcher, now_us);
+	trial_finish(&record->trial, result->ran, now_us);
 	if (!counted)
 		return;
-	poison_note_trials(record);
-	if (!record->tell_us)
-		record->tell_us = now_us;
+	poison_limit_trials(record);
+	if (!record->publish_us)
+		record->publish_us = now_us;
 	poison_record_arm(record);
 }
 
-uint64_t poison_retry_us(const poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
+uint64_t poison_retry_delay_us(const poison_t *poison, fingerprint_t fingerprint, uint64_t now_us)
 {
 	const record_t *record = poison_record_find(poison, fingerprint);
 	uint64_t next_us = record ? record->trial.next_us : 0;
 
-	return MAX(next_us > now_us ? next_us - now_us : 0, TRIAL_USUAL_US);
+	return MAX(next_us > now_us ? next_us - now_us : 0, TYPICAL_TRIAL_US);
 }
--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -48,7 +48,7 @@
 	put(out, "poison_cleared_total", NULL, NULL, counters->cleared);
 	put(out, "poison_claims_total", NULL, NULL, counters->claims);
 	put(out, "poison_trials_total", NULL, NULL, counters->trials);
-	put(out, "poison_told_total", NULL, NULL, counters->told);
+	put(out, "poison_told_total", NULL, NULL, counters->published);
 	put(out, "poison_dropped_total", NULL, NULL, counters->dropped);
 }
 
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -239,7 +239,7 @@
 
 /* ---- requests under which searchers end ---- */
 
-static void on_poison_tell(void *ctx, const poison_news_t *news)
+static void on_poison_tell(void *ctx, const poison_update_t *news)
 {
 	poison_task_tell(((front_task_t *)ctx)->poison, news);
 }
@@ -249,7 +249,7 @@
 	poison_task_forget(((front_task_t *)ctx)->poison, fingerprint);
 }
 
-static void on_poison_changed(void *ctx, const poison_news_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
 {
 	char text[FINGERPRINT_TEXT_BYTES];
 
@@ -661,8 +661,8 @@
 
 front_task_t *front_task_new(loop_t *loop, const settings_t *settings, platform_task_t *platform)
 {
-	static const poison_ops_t poison_ops = {.tell = on_poison_tell,
-						.forget = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
+						.remove = on_poison_forget,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims,
--- a/src/tasks/poison_task.c
+++ b/src/tasks/poison_task.c
@@ -22,7 +22,7 @@
 /** One call to the store. */
 typedef struct poison_call_t {
 	poison_task_t *task;
-	poison_news_t news;
+	poison_update_t news;
 	char *service;
 	bool replaces; /* the object exists, as far as is known */
 	uint32_t tries;
@@ -45,7 +45,7 @@
 	return task;
 }
 
-static poison_call_t *call_new(poison_task_t *task, const poison_news_t *news)
+static poison_call_t *call_new(poison_task_t *task, const poison_update_t *news)
 {
 	poison_call_t *call = g_new0(poison_call_t, 1);
 
@@ -79,7 +79,7 @@
 	}
 	if (!taken)
 		g_info("event=poison-not-told status=%d outcome=again", result->status);
-	poison_told(call->task->poison, &call->news, taken, loop_now_us());
+	poison_publish_done(call->task->poison, &call->news, taken, loop_now_us());
 	call_free(call);
 }
 
@@ -95,7 +95,7 @@
 			   CALL_TIMEOUT_US, on_put, call);
 }
 
-void poison_task_tell(poison_task_t *task, const poison_news_t *news)
+void poison_task_tell(poison_task_t *task, const poison_update_t *news)
 {
 	poison_call_t *call = call_new(task, news);
 
@@ -139,8 +139,8 @@
 {
 	claim_call_t *call = ctx;
 
-	poison_claimed(call->task->poison, call->fingerprint, call->number,
-		       claim_reply_of(result->status), loop_now_us());
+	poison_claim_done(call->task->poison, call->fingerprint, call->number,
+			  claim_reply_of(result->status), loop_now_us());
 	g_free(call);
 }
 
@@ -175,7 +175,7 @@
 
 void poison_task_take(poison_task_t *task, const store_object_t *object, uint64_t now_us)
 {
-	poison_news_t news;
+	poison_update_t news;
 	err_t err = {0};
 
 	if (!store_read_poison(object, &news, &err)) {
@@ -183,7 +183,7 @@
 		return;
 	}
 	if (object->removed)
-		poison_release(task->poison, news.fingerprint);
+		poison_apply_removal(task->poison, news.fingerprint);
 	else
-		poison_take(task->poison, &news, now_us);
+		poison_apply_update(task->poison, &news, now_us);
 }
--- a/src/tasks/poison_task.h
+++ b/src/tasks/poison_task.h
@@ -18,7 +18,7 @@
 poison_task_t *poison_task_new(platform_task_t *platform, poison_t *poison, const char *vm_name);
 
 /** Callbacks of the forwarder's poison. */
-void poison_task_tell(poison_task_t *task, const poison_news_t *news);
+void poison_task_tell(poison_task_t *task, const poison_update_t *news);
 void poison_task_forget(poison_task_t *task, fingerprint_t fingerprint);
 void poison_task_claim(poison_task_t *task, fingerprint_t fingerprint, uint32_t number);
 void poison_task_drop_claims(poison_task_t *task, fingerprint_t fingerprint, uint32_t number);
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -126,7 +126,7 @@
 		    sighting->after_us / 1000);
 }
 
-static void on_poison_tell(void *ctx, const poison_news_t *news)
+static void on_poison_tell(void *ctx, const poison_update_t *news)
 {
 	g_autofree char *trials =
 		news->trials ? g_strdup_printf(" trials=%u ran=%u", news->trials, news->ran)
@@ -149,8 +149,8 @@
 	if (play->claims)
 		say(play, "claims trial=%u", number);
 	else
-		poison_claimed(forwarder_poison(play->forwarder), fingerprint, number,
-			       CLAIM_GRANTED, play->now_us);
+		poison_claim_done(forwarder_poison(play->forwarder), fingerprint, number,
+				  CLAIM_GRANTED, play->now_us);
 }
 
 static void on_poison_drop_claims(void *ctx, fingerprint_t fingerprint, uint32_t number)
@@ -166,7 +166,7 @@
 		say(ctx, "trial %u %s why=%s", trial->number, trial->outcome, trial->why);
 }
 
-static void on_poison_changed(void *ctx, const poison_news_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
 {
 	say(ctx, "poison %s strikes=%u", what, news->strikes);
 }
@@ -186,8 +186,8 @@
 static void *play_new(GString *out)
 {
 	static const registry_ops_t registry_ops = {.changed = on_changed};
-	static const poison_ops_t poison_ops = {.tell = on_poison_tell,
-						.forget = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
+						.remove = on_poison_forget,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims,
@@ -597,11 +597,11 @@
 				   1000000000 + strtoull(words[2], NULL, 10) * 1000);
 }
 
-static poison_news_t news_of_words(char **words)
+static poison_update_t news_of_words(char **words)
 {
 	guint count = g_strv_length(words);
 
-	return (poison_news_t){
+	return (poison_update_t){
 		.fingerprint = fingerprint_of_target("h", words[1]),
 		.strikes = words[2] ? (uint32_t)atoi(words[2]) : 0,
 		.service = words[2] ? words[3] : NULL,
@@ -613,24 +613,25 @@
 static void do_other(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	const poison_news_t news = news_of_words(words);
+	const poison_update_t news = news_of_words(words);
 
-	poison_take(forwarder_poison(play->forwarder), &news, play->now_us);
+	poison_apply_update(forwarder_poison(play->forwarder), &news, play->now_us);
 }
 
 static void do_release(void *ctx, char **words)
 {
 	play_t *play = ctx;
 
-	poison_release(forwarder_poison(play->forwarder), fingerprint_of_target("h", words[1]));
+	poison_apply_removal(forwarder_poison(play->forwarder),
+			     fingerprint_of_target("h", words[1]));
 }
 
 static void do_stored(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	const poison_news_t news = news_of_words(words);
+	const poison_update_t news = news_of_words(words);
 
-	poison_told(forwarder_poison(play->forwarder), &news, true, play->now_us);
+	poison_publish_done(forwarder_poison(play->forwarder), &news, true, play->now_us);
 }
 
 static void do_claims(void *ctx, char **words)
@@ -650,8 +651,8 @@
 
 	while (!g_str_equal(replies[reply], words[3]))
 		reply++;
-	poison_claimed(forwarder_poison(play->forwarder), fingerprint_of_target("h", words[1]),
-		       (uint32_t)atoi(words[2]), (claim_reply_t)reply, play->now_us);
+	poison_claim_done(forwarder_poison(play->forwarder), fingerprint_of_target("h", words[1]),
+			  (uint32_t)atoi(words[2]), (claim_reply_t)reply, play->now_us);
 }
 
 static void do_poison(void *ctx, char **words)
--- a/tests/front_fleet_test.c
+++ b/tests/front_fleet_test.c
@@ -45,7 +45,7 @@
 	uint64_t due_us;
 	int to; /* a VM; -1: the store */
 	int from;
-	poison_news_t news; /* without strikes: it is no more */
+	poison_update_t news; /* without strikes: it is no more */
 	char *service;
 	uint32_t number; /* of a claim */
 	bool granted;
@@ -101,7 +101,7 @@
 }
 
 /* A VM that is cut off is not answered, and writes once it is back. */
-static void on_stores(void *ctx, front_world_t *world, const poison_news_t *news)
+static void on_stores(void *ctx, front_world_t *world, const poison_update_t *news)
 {
 	fleet_t *fleet = ctx;
 	int from = index_of(fleet, world);
@@ -179,8 +179,8 @@
 		post(fleet, &told);
 	}
 	if (letter->news.strikes)
-		poison_told(forwarder_poison(fleet->vms[letter->from]->forwarder), &letter->news,
-			    true, fleet->now_us);
+		poison_publish_done(forwarder_poison(fleet->vms[letter->from]->forwarder),
+				    &letter->news, true, fleet->now_us);
 }
 
 static void vm_hears(fleet_t *fleet, const letter_t *letter)
@@ -188,12 +188,12 @@
 	poison_t *poison = forwarder_poison(fleet->vms[letter->to]->forwarder);
 
 	if (letter->type == LETTER_CLAIM)
-		poison_claimed(poison, letter->news.fingerprint, letter->number,
-			       letter->granted ? CLAIM_GRANTED : CLAIM_TAKEN, fleet->now_us);
+		poison_claim_done(poison, letter->news.fingerprint, letter->number,
+				  letter->granted ? CLAIM_GRANTED : CLAIM_TAKEN, fleet->now_us);
 	else if (letter->news.strikes)
-		poison_take(poison, &letter->news, fleet->now_us);
+		poison_apply_update(poison, &letter->news, fleet->now_us);
 	else
-		poison_release(poison, letter->news.fingerprint);
+		poison_apply_removal(poison, letter->news.fingerprint);
 }
 
 static void deliver(fleet_t *fleet)
--- a/tests/front_world.c
+++ b/tests/front_world.c
@@ -751,7 +751,7 @@
 	g_free(played);
 }
 
-static void on_poison_tell(void *ctx, const poison_news_t *news)
+static void on_poison_tell(void *ctx, const poison_update_t *news)
 {
 	front_world_t *world = ctx;
 
@@ -761,7 +761,7 @@
 
 static void on_poison_forget(void *ctx, fingerprint_t fingerprint)
 {
-	const poison_news_t news = {.fingerprint = fingerprint};
+	const poison_update_t news = {.fingerprint = fingerprint};
 
 	on_poison_tell(ctx, &news);
 }
@@ -773,8 +773,8 @@
 	if (world->claims)
 		world->claims(world->ctx, world, fingerprint, number);
 	else
-		poison_claimed(forwarder_poison(world->forwarder), fingerprint, number,
-			       CLAIM_GRANTED, world->now_us);
+		poison_claim_done(forwarder_poison(world->forwarder), fingerprint, number,
+				  CLAIM_GRANTED, world->now_us);
 }
 
 static void on_poison_drop_claims(void *ctx, fingerprint_t fingerprint, uint32_t number)
@@ -785,7 +785,7 @@
 		world->drops_claims(world->ctx, world, fingerprint, number);
 }
 
-static void on_poison_changed(void *ctx, const poison_news_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
 {
 	front_world_t *world = ctx;
 
@@ -796,8 +796,8 @@
 front_world_t *front_world_new(uint32_t seed)
 {
 	static const registry_ops_t registry_ops = {.changed = on_changed};
-	static const poison_ops_t poison_ops = {.tell = on_poison_tell,
-						.forget = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
+						.remove = on_poison_forget,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims};
--- a/tests/front_world.h
+++ b/tests/front_world.h
@@ -86,7 +86,7 @@
 	void (*crashed)(void *ctx, const fake_t *fake);
 	/** What the VM writes to the store of requests that crash searchers; NULL: there is none.
 	 * Without strikes it is to be removed. */
-	void (*stores)(void *ctx, struct front_world_t *world, const poison_news_t *news);
+	void (*stores)(void *ctx, struct front_world_t *world, const poison_update_t *news);
 	/** The VM claims a trial of such a request; NULL: it is granted at once. */
 	void (*claims)(void *ctx, struct front_world_t *world, fingerprint_t fingerprint,
 		       uint32_t number);
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -483,7 +483,7 @@
 	json_decref(json);
 }
 
-static bool read_poison(const char *name, const char *content, poison_news_t *news)
+static bool read_poison(const char *name, const char *content, poison_update_t *news)
 {
 	json_t *json = json_loads(content, 0, NULL);
 	const store_object_t object = {.name = name, .content = json};
@@ -496,19 +496,19 @@
 
 static void test_poison(void **state)
 {
-	const poison_news_t told = {.fingerprint = 0xabc,
-				    .strikes = 2,
-				    .renewals = 3,
-				    .trials = 5,
-				    .ran = 4,
-				    .service = "s-1"};
+	const poison_update_t told = {.fingerprint = 0xabc,
+				      .strikes = 2,
+				      .renewals = 3,
+				      .trials = 5,
+				      .ran = 4,
+				      .service = "s-1"};
 	g_autofree char *text = store_write_poison(&told);
 	json_t *json = json_loads(text, 0, NULL);
 	const json_t *meta = json_object_get(json, "meta");
 	const store_object_t object = {.name = json_string_value(json_object_get(meta, "name")),
 				       .content = json_object_get(json, "spec")};
 	const store_object_t removed = {.name = "0000000000000abc", .removed = true};
-	poison_news_t news;
+	poison_update_t news;
 	err_t err = {0};
 
 	(void)state;
@@ -556,7 +556,7 @@
 		"{\"strikes\":9000000000,\"renewals\":0,\"service\":\"s\"}",
 	};
 	const char *sound = "{\"strikes\":2,\"renewals\":0,\"service\":\"s\"}";
-	poison_news_t news;
+	poison_update_t news;
 
 	(void)state;
 	assert_true(read_poison("0000000000000abc", sound, &news));
--- a/tests/poison_test.c
+++ b/tests/poison_test.c
@@ -15,7 +15,7 @@
 #define START_US 1000000000ull
 
 /* By a trial, on a connection that was kept. */
-#define SENT(at_us) ((poison_sending_t){.sent_us = (at_us), .on_trial = true, .kept = true})
+#define SENT(at_us) ((poison_sending_t){.sent_us = (at_us), .on_trial = true, .reused = true})
 
 typedef struct told_t {
 	uint32_t tells;	  /* to the store */
@@ -23,7 +23,7 @@
 	uint32_t firsts;  /* of the tells: first strikes */
 } told_t;
 
-static void on_tell(void *ctx, const poison_news_t *news)
+static void on_tell(void *ctx, const poison_update_t *news)
 {
 	told_t *told = ctx;
 
@@ -37,14 +37,14 @@
 	((told_t *)ctx)->forgets++;
 }
 
-static void on_changed(void *ctx, const poison_news_t *news, const char *what)
+static void on_changed(void *ctx, const poison_update_t *news, const char *what)
 {
 	(void)ctx;
 	(void)news;
 	(void)what;
 }
 
-static const poison_ops_t ops = {.tell = on_tell, .forget = on_forget, .changed = on_changed};
+static const poison_ops_t ops = {.publish = on_tell, .remove = on_forget, .changed = on_changed};
 
 static searcher_t *searcher_of(const char *id, const char *service)
 {
@@ -75,21 +75,22 @@
 {
 	told_t told = {0};
 	poison_t *poison = poison_new(&ops, &told, 1);
-	const poison_news_t blocked = {.fingerprint = 7, .strikes = POISON_STRIKES, .service = "s"};
+	const poison_update_t blocked = {
+		.fingerprint = 7, .strikes = POISON_STRIKES, .service = "s"};
 	uint64_t now_us = START_US;
 
 	(void)state;
-	poison_take(poison, &blocked, now_us);
-	for (fingerprint_t i = 100; i < 100 + 5 * POISON_RECORDS_MOST; i++) {
-		const poison_news_t news = {.fingerprint = i, .strikes = 1, .service = "s"};
+	poison_apply_update(poison, &blocked, now_us);
+	for (fingerprint_t i = 100; i < 100 + 5 * POISON_MAX_RECORDS; i++) {
+		const poison_update_t news = {.fingerprint = i, .strikes = 1, .service = "s"};
 
-		poison_take(poison, &news, ++now_us);
-		assert_true(poison_records(poison) <= POISON_RECORDS_MOST);
+		poison_apply_update(poison, &news, ++now_us);
+		assert_true(poison_records(poison) <= POISON_MAX_RECORDS);
 	}
-	assert_int_equal(poison_records(poison), POISON_RECORDS_MOST);
-	assert_int_equal(poison_judge(poison, 7, now_us), POISON_BLOCKED);
-	assert_int_equal(poison_judge(poison, 100, now_us), POISON_CLEAR);
-	assert_int_equal(told.forgets, 4 * POISON_RECORDS_MOST + 1);
+	assert_int_equal(poison_records(poison), POISON_MAX_RECORDS);
+	assert_int_equal(poison_check(poison, 7, now_us), POISON_BLOCKED);
+	assert_int_equal(poison_check(poison, 100, now_us), POISON_CLEAR);
+	assert_int_equal(told.forgets, 4 * POISON_MAX_RECORDS + 1);
 	assert_int_equal(poison_counters(poison)->dropped, told.forgets);
 	poison_free(poison);
 }
@@ -102,10 +103,10 @@
 
 	(void)state;
 	for (fingerprint_t i = 1; i <= 20; i++) {
-		const poison_news_t news = {
+		const poison_update_t news = {
 			.fingerprint = i, .strikes = 1 + (uint32_t)i % 3, .service = "s"};
 
-		poison_take(poison, &news, START_US);
+		poison_apply_update(poison, &news, START_US);
 	}
 	poison_run(poison, START_US + HOUR_US);
 	assert_int_equal(poison_records(poison), 0);
@@ -122,7 +123,8 @@
  */
 static void test_restored_store_is_told_again(void **state)
 {
-	const poison_news_t blocked = {.fingerprint = 7, .strikes = POISON_STRIKES, .service = "s"};
+	const poison_update_t blocked = {
+		.fingerprint = 7, .strikes = POISON_STRIKES, .service = "s"};
 	uint32_t tells = 0;
 
 	(void)state;
@@ -130,14 +132,14 @@
 		told_t told = {0};
 		poison_t *poison = poison_new(&ops, &told, vm);
 
-		poison_take(poison, &blocked, START_US);
+		poison_apply_update(poison, &blocked, START_US);
 		poison_store_restored(poison, vm >= 10, START_US);
 		poison_list_begin(poison);
 		poison_list_end(poison);
-		assert_int_equal(poison_judge(poison, 7, START_US), POISON_BLOCKED);
+		assert_int_equal(poison_check(poison, 7, START_US), POISON_BLOCKED);
 		poison_run(poison, START_US + SECOND_US);
 		if (!told.tells)
-			poison_take(poison, &blocked, START_US + SECOND_US);
+			poison_apply_update(poison, &blocked, START_US + SECOND_US);
 		poison_run(poison, START_US + 60 * SECOND_US);
 		tells += told.tells;
 		assert_int_equal(told.forgets, 0);
@@ -199,15 +201,15 @@
 {
 	told_t told = {0};
 	poison_t *poison = poison_new(&ops, &told, 1);
-	const poison_news_t news = {
+	const poison_update_t news = {
 		.fingerprint = 500, .strikes = POISON_STRIKES - 1, .service = "s"};
 
 	(void)state;
-	poison_take(poison, &news, START_US);
+	poison_apply_update(poison, &news, START_US);
 	for (fingerprint_t i = 1; i <= 100; i++)
 		strike(poison, i, START_US + 2 * SECOND_US);
 	strike(poison, 500, START_US + 2 * SECOND_US);
-	assert_int_equal(poison_judge(poison, 500, START_US + 2 * SECOND_US), POISON_BLOCKED);
+	assert_int_equal(poison_check(poison, 500, START_US + 2 * SECOND_US), POISON_BLOCKED);
 	poison_run(poison, START_US + 2 * SECOND_US + 1000);
 	assert_int_equal(told.tells - told.firsts, 1);
 	poison_free(poison);
@@ -218,7 +220,7 @@
 {
 	told_t told = {0};
 	poison_t *poison = poison_new(&ops, &told, 1);
-	const poison_news_t news = {.fingerprint = 1, .strikes = 1, .service = "s"};
+	const poison_update_t news = {.fingerprint = 1, .strikes = 1, .service = "s"};
 
 	(void)state;
 	strike(poison, 1, START_US);
@@ -227,7 +229,7 @@
 
 		poison_run(poison, START_US + ms * 1000ull);
 		if (told.tells > before)
-			poison_told(poison, &news, false, START_US + ms * 1000ull);
+			poison_publish_done(poison, &news, false, START_US + ms * 1000ull);
 	}
 	assert_in_range(told.tells, 9, 10);
 	poison_free(poison);
@@ -238,7 +240,7 @@
 {
 	told_t told = {0};
 	poison_t *poison = poison_new(&ops, &told, 1);
-	const poison_news_t news = {.fingerprint = 1, .strikes = 1, .service = "s"};
+	const poison_update_t news = {.fingerprint = 1, .strikes = 1, .service = "s"};
 
 	(void)state;
 	strike(poison, 1, START_US);
@@ -246,7 +248,7 @@
 	assert_int_equal(told.tells, 1);
 	poison_note_answered(poison, 1, "s", START_US + SECOND_US);
 	assert_int_equal(told.forgets, 0);
-	poison_told(poison, &news, true, START_US + SECOND_US);
+	poison_publish_done(poison, &news, true, START_US + SECOND_US);
 	assert_int_equal(told.forgets, 1);
 	poison_free(poison);
 }
@@ -256,19 +258,19 @@
 {
 	told_t told = {0};
 	poison_t *poison = poison_new(&ops, &told, 1);
-	const poison_news_t kept = {.fingerprint = 1, .strikes = POISON_STRIKES, .service = "s"};
-	const poison_news_t gone = {.fingerprint = 2, .strikes = POISON_STRIKES, .service = "s"};
+	const poison_update_t kept = {.fingerprint = 1, .strikes = POISON_STRIKES, .service = "s"};
+	const poison_update_t gone = {.fingerprint = 2, .strikes = POISON_STRIKES, .service = "s"};
 
 	(void)state;
-	poison_take(poison, &kept, START_US);
-	poison_take(poison, &gone, START_US);
+	poison_apply_update(poison, &kept, START_US);
+	poison_apply_update(poison, &gone, START_US);
 	strike(poison, 3, START_US); /* the store was not told of this one yet */
 	poison_list_begin(poison);
-	poison_take(poison, &kept, START_US);
+	poison_apply_update(poison, &kept, START_US);
 	poison_list_end(poison);
-	assert_int_equal(poison_judge(poison, 1, START_US), POISON_BLOCKED);
-	assert_int_equal(poison_judge(poison, 2, START_US), POISON_CLEAR);
-	assert_int_equal(poison_judge(poison, 3, START_US), POISON_SUSPECT);
+	assert_int_equal(poison_check(poison, 1, START_US), POISON_BLOCKED);
+	assert_int_equal(poison_check(poison, 2, START_US), POISON_CLEAR);
+	assert_int_equal(poison_check(poison, 3, START_US), POISON_SUSPECT);
 	poison_free(poison);
 }
 
@@ -281,7 +283,7 @@
 	(void)state;
 	poison_note_lost(poison, 1, searcher, &SENT(START_US), START_US);
 	poison_note_listens(poison, searcher, START_US + 1);
-	assert_int_equal(poison_judge(poison, 1, START_US + 1), POISON_CLEAR);
+	assert_int_equal(poison_check(poison, 1, START_US + 1), POISON_CLEAR);
 	poison_note_ended(poison, searcher, START_US + SECOND_US);
 	assert_int_equal(poison_records(poison), 0);
 	assert_int_equal(searcher->refs, 1);
@@ -331,7 +333,7 @@
 	uint32_t writes;
 } crowd_t;
 
-static void crowd_tell(void *ctx, const poison_news_t *news)
+static void crowd_tell(void *ctx, const poison_update_t *news)
 {
 	(void)news;
 	((struct crowd_vm_t *)ctx)->crowd->writes++;
@@ -345,8 +347,8 @@
 
 	crowd->writes++;
 	crowd->claimed[fingerprint] = true;
-	poison_claimed(vm->poison, fingerprint, number, taken ? CLAIM_TAKEN : CLAIM_GRANTED,
-		       crowd->now_us);
+	poison_claim_done(vm->poison, fingerprint, number, taken ? CLAIM_TAKEN : CLAIM_GRANTED,
+			  crowd->now_us);
 }
 
 static void crowd_forget(void *ctx, fingerprint_t fingerprint)
@@ -365,8 +367,8 @@
 
 static void crowd_start(crowd_t *crowd, uint32_t suspects)
 {
-	static const poison_ops_t crowd_ops = {.tell = crowd_tell,
-					       .forget = crowd_forget,
+	static const poison_ops_t crowd_ops = {.publish = crowd_tell,
+					       .remove = crowd_forget,
 					       .changed = on_changed,
 					       .claim = crowd_claim,
 					       .drop_claims = crowd_drop_claims};
@@ -376,9 +378,9 @@
 		crowd->vms[i].crowd = crowd;
 		crowd->vms[i].poison = poison_new(&crowd_ops, &crowd->vms[i], i);
 		for (fingerprint_t f = 1; f <= suspects; f++)
-			poison_take(
+			poison_apply_update(
 				crowd->vms[i].poison,
-				&(poison_news_t){.fingerprint = f, .strikes = 1, .service = "s"},
+				&(poison_update_t){.fingerprint = f, .strikes = 1, .service = "s"},
 				START_US);
 	}
 }
@@ -387,9 +389,10 @@
 static void crowd_ask(crowd_t *crowd, fingerprint_t fingerprint)
 {
 	uint32_t vm = (uint32_t)((crowd->now_us / ASKED_EACH_US + fingerprint) % VMS);
-	trial_turn_t turn = poison_turn(crowd->vms[vm].poison, fingerprint, true, crowd->now_us);
+	trial_decision_t turn =
+		poison_decide(crowd->vms[vm].poison, fingerprint, true, crowd->now_us);
 
-	if (turn != TRIAL_GO)
+	if (turn != TRIAL_BEGIN)
 		return;
 	assert_int_equal(crowd->out[fingerprint], 0);
 	crowd->out[fingerprint] = vm + 1;
@@ -402,7 +405,7 @@
 
 	poison_note_answered(tried, fingerprint, "s", crowd->now_us);
 	for (uint32_t i = 0; i < VMS; i++)
-		poison_release(crowd->vms[i].poison, fingerprint);
+		poison_apply_removal(crowd->vms[i].poison, fingerprint);
 	crowd->out[fingerprint] = 0;
 }
 
