--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -166,7 +166,7 @@
 				? (uint64_t)g_rand_double_range(engine->rand,
 								OUTAGE_RETURN_LEAST_US,
 								OUTAGE_RETURN_MOST_US)
-				: gate_return_after_us(&service->gate, now_us, engine->rand);
+				: gate_retry_delay_us(&service->gate, now_us, engine->rand);
 	count_answer(service, query, &answer, now_us);
 	if (refusal != REFUSAL_NONE || answer.missing->len)
 		timeline_add(
--- a/src/core/gate.c
+++ b/src/core/gate.c
@@ -1,20 +1,21 @@
 /**
  * @file gate.c
- * See gate.h. docs/decisions/0004-admission.md weighs the ways.
+ * See gate.h. docs/decisions/0004-admission.md compares the alternatives.
  */
 #include "core/gate.h"
 
-#define RUN_START_US 10000.0
-#define RUN_WEIGHT 0.05
-/* Every so many turns the one that has waited longest goes first, whatever its class. */
-#define FAIR_TURN 8
-#define DISPLACE_WITHIN_US 4000
-#define RETURN_LEAST_US 20000
-#define RETURN_MOST_US 10000000
+#define INITIAL_RUN_US 10000.0
+#define RUN_AVERAGE_WEIGHT 0.05
+/* One in this many picks admits the earliest arrival at the head of a queue, whatever its class. */
+#define FAIR_PICK_INTERVAL 8
+/* An entry that has waited for less may be displaced by a more urgent one. */
+#define DISPLACEABLE_AGE_US 4000
+#define RETRY_BASE_DELAY_US 20000
+#define RETRY_HORIZON_US 10000000
 
 void gate_init(gate_t *gate)
 {
-	*gate = (gate_t){.run_us = RUN_START_US, .capacity = 1};
+	*gate = (gate_t){.run_us = INITIAL_RUN_US, .capacity = 1};
 	for (int i = 0; i < CLASS_COUNT; i++)
 		g_queue_init(&gate->waiting[i]);
 }
@@ -28,13 +29,13 @@
 	return total;
 }
 
-static bool has_room(const gate_t *gate)
+static bool has_capacity(const gate_t *gate)
 {
 	return gate->running < MAX((uint32_t)gate->capacity, 1);
 }
 
-/* Those of its own class and the more urgent ones go before it. */
-static uint32_t ahead_of(const gate_t *gate, const gate_entry_t *entry)
+/* Number of waiting entries of the same or a more urgent class, which are admitted first. */
+static uint32_t count_ahead(const gate_t *gate, const gate_entry_t *entry)
 {
 	uint32_t ahead = 0;
 
@@ -44,22 +45,23 @@
 }
 
 /*
- * How many may wait ahead of one of each class, in runs of the whole service. Waiting longer gives
- * no more answers, only later ones; and one who is refused after a wait has lost that time, too.
- * The lower classes are overtaken while they wait, so they are turned away sooner.
+ * Limits how many entries may wait ahead of a new one, per class, as a multiple of the service's
+ * capacity. Longer queues give no more answers, only later ones, and a caller that is rejected
+ * after a wait has lost that time too. Lower classes are overtaken while they wait, so their limit
+ * is lower.
  */
-static bool has_place(const gate_t *gate, const gate_entry_t *entry)
+static bool has_queue_space(const gate_t *gate, const gate_entry_t *entry)
 {
-	static const double runs_ahead[CLASS_COUNT] = {
+	static const double max_runs_ahead[CLASS_COUNT] = {
 		[CLASS_URGENT] = 1.5, [CLASS_NORMAL] = 1, [CLASS_BACKGROUND] = 0.5};
 
-	return ahead_of(gate, entry) < MAX(runs_ahead[entry->class] * gate->capacity, 1.0) &&
+	return count_ahead(gate, entry) < MAX(max_runs_ahead[entry->class] * gate->capacity, 1.0) &&
 	       gate->waiting[entry->class].length < gate->queue_limit;
 }
 
-static bool has_time(const gate_t *gate, const gate_entry_t *entry, uint64_t now_us)
+static bool meets_deadline(const gate_t *gate, const gate_entry_t *entry, uint64_t now_us)
 {
-	double wait_us = (ahead_of(gate, entry) + 1) * gate->run_us / MAX(gate->capacity, 1.0);
+	double wait_us = (count_ahead(gate, entry) + 1) * gate->run_us / MAX(gate->capacity, 1.0);
 
 	return (double)entry->deadline_us > (double)now_us + wait_us + gate->run_us;
 }
@@ -82,13 +84,13 @@
 
 gate_verdict_t gate_offer(gate_t *gate, gate_entry_t *entry, uint64_t now_us)
 {
-	if (has_room(gate) && ahead_of(gate, entry) == 0) {
+	if (has_capacity(gate) && count_ahead(gate, entry) == 0) {
 		gate->running++;
 		return GATE_RUN;
 	}
-	if (!has_time(gate, entry, now_us))
+	if (!meets_deadline(gate, entry, now_us))
 		return GATE_NO_TIME;
-	if (!has_place(gate, entry))
+	if (!has_queue_space(gate, entry))
 		return GATE_FULL;
 	insert(gate, entry);
 	return GATE_WAIT;
@@ -112,7 +114,7 @@
 	for (int i = CLASS_COUNT - 1; i > (int)entry->class; i--) {
 		gate_entry_t *found = newest(&gate->waiting[i]);
 
-		if (found && now_us - found->arrived_us < DISPLACE_WITHIN_US)
+		if (found && now_us - found->arrived_us < DISPLACEABLE_AGE_US)
 			return found;
 	}
 	return NULL;
@@ -151,11 +153,11 @@
 {
 	gate_entry_t *entry;
 
-	if (!has_room(gate))
+	if (!has_capacity(gate))
 		return NULL;
-	/* Strict order would starve the lower classes for as long as urgent work fills the service.
-	 */
-	entry = ++gate->turn % FAIR_TURN ? first_by_class(gate) : first_by_arrival(gate);
+	/* Strict priority would starve the lower classes while urgent requests fill the service. */
+	entry = ++gate->pick_count % FAIR_PICK_INTERVAL ? first_by_class(gate)
+							: first_by_arrival(gate);
 	if (!entry)
 		return NULL;
 	gate_withdraw(gate, entry);
@@ -167,26 +169,26 @@
 {
 	g_assert(gate->running > 0);
 	gate->running--;
-	gate->run_us += RUN_WEIGHT * ((double)run_us - gate->run_us);
+	gate->run_us += RUN_AVERAGE_WEIGHT * ((double)run_us - gate->run_us);
 }
 
-uint64_t gate_return_after_us(gate_t *gate, uint64_t now_us, GRand *rand)
+uint64_t gate_retry_delay_us(gate_t *gate, uint64_t now_us, GRand *rand)
 {
 	double spacing_us = gate->run_us / MAX(gate->capacity, 1.0);
 	uint64_t backlog_us = (uint64_t)(gate_waiting(gate) * spacing_us);
 	uint64_t after_us;
 
 	/*
-	 * One common delay would call all refused callers back in the same moment, to be refused
-	 * again. Each refused caller gets the next free place in time instead.
+	 * With one common delay all rejected callers would retry at the same moment and be rejected
+	 * again. Each rejected caller gets the next free time slot instead.
 	 */
-	gate->return_slot_us =
-		MAX(gate->return_slot_us, now_us + backlog_us) + (uint64_t)spacing_us;
-	after_us = gate->return_slot_us - now_us;
-	if (after_us > RETURN_MOST_US) {
-		gate->return_slot_us = now_us + RETURN_MOST_US;
-		return (uint64_t)g_rand_double_range(rand, RETURN_MOST_US / 2.0, RETURN_MOST_US);
+	gate->retry_slot_us = MAX(gate->retry_slot_us, now_us + backlog_us) + (uint64_t)spacing_us;
+	after_us = gate->retry_slot_us - now_us;
+	if (after_us > RETRY_HORIZON_US) {
+		gate->retry_slot_us = now_us + RETRY_HORIZON_US;
+		return (uint64_t)g_rand_double_range(rand, RETRY_HORIZON_US / 2.0,
+						     RETRY_HORIZON_US);
 	}
-	return RETURN_LEAST_US + after_us +
+	return RETRY_BASE_DELAY_US + after_us +
 	       (uint64_t)g_rand_double_range(rand, 0, (double)after_us / 4 + 1000);
 }
