--- a/src/core/shedding.c
+++ b/src/core/shedding.c
@@ -6,18 +6,19 @@
 
 #include "core/forward_private.h"
 
-/* After the last part that found no room: a shard offered a tenth more than it can do makes parts
- * wait several times a second, on each VM. */
-#define SHORT_FOR_US 1000000
-/* Weight of one part in the share that is left out: that of the last seconds. */
-#define SHARE_WEIGHT 0.02
+/* A shard counts as overloaded for this long after a part found no free connection. A shard offered
+ * a tenth more than its capacity makes parts wait several times per second on each VM. */
+#define OVERLOAD_HOLD_US 1000000
+/* Weight of one part in the moving average of the shed share, which covers the last seconds. */
+#define SHED_SHARE_WEIGHT 0.02
 /*
- * A part is left out when it would be answered after the target; where parts are left out all the
- * time, earlier: the wait is an average, and one that comes just too late is work for nobody. Not
- * from the start: a short rush would cost parts that could still be had.
+ * A part is shed when its expected answer comes after the target. The expected time is multiplied
+ * by a factor that grows with the shed share, up to MAX_WAIT_FACTOR: the wait is an average, and an
+ * answer that comes just too late is wasted work. The factor starts at 1, because in a short burst
+ * a higher one would shed parts that could still be answered in time.
  */
-#define SHARE_TIMES 4
-#define TIMES_MOST 2.2
+#define SHED_SHARE_FACTOR 4
+#define MAX_WAIT_FACTOR 2.2
 
 bool shedding_is_allowed(const forward_t *forward)
 {
@@ -30,10 +31,10 @@
 {
 	const candidates_t candidates = part_candidates(part);
 	const pool_t *pool = part->pool;
-	double times = MIN(1 + SHARE_TIMES * pool->shed_share, TIMES_MOST);
+	double wait_factor = MIN(1 + SHED_SHARE_FACTOR * pool->shed_share, MAX_WAIT_FACTOR);
 	double takes_us = placement_wait_us(&candidates, now_us) + placement_typical_us(pool);
 
-	return now_us + (uint64_t)(times * takes_us) > part->forward->partial_us;
+	return now_us + (uint64_t)(wait_factor * takes_us) > part->forward->partial_us;
 }
 
 bool shedding_is_too_late(const part_t *part, uint64_t now_us)
@@ -48,10 +49,10 @@
 
 void shedding_note_part(pool_t *pool, bool shed)
 {
-	pool->shed_share += SHARE_WEIGHT * ((shed ? 1 : 0) - pool->shed_share);
+	pool->shed_share += SHED_SHARE_WEIGHT * ((shed ? 1 : 0) - pool->shed_share);
 }
 
 bool shedding_is_on(const pool_t *pool, uint64_t now_us)
 {
-	return pool->short_us && now_us - pool->short_us < SHORT_FOR_US;
+	return pool->short_us && now_us - pool->short_us < OVERLOAD_HOLD_US;
 }
