--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -1,6 +1,7 @@
 /**
  * @file claims.c
- * See claims.h. docs/decisions/0005-at-most-once.md weighs the ways; spec/claims.pml is its model.
+ * See claims.h. docs/decisions/0005-at-most-once.md compares the alternatives; spec/claims.pml
+ * models the protocol.
  */
 #include "core/claims.h"
 
@@ -8,20 +9,21 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define ENTRIES_MAX 8000
-/* Writes of one VM: the platform takes several hundred a second from all of them. */
-#define WRITE_SPACING_US 25000
+#define MAX_BUCKET_ENTRIES 8000
+/* Rate limit for the writes of one VM: the platform takes several hundred writes per second from
+ * all VMs together. */
+#define WRITE_INTERVAL_US 25000
 #define WRITE_BURST 20
-#define BACKOFF_LEAST_US 5000
-#define BACKOFF_MOST_US 500000
+#define MIN_CLAIM_BACKOFF_US 5000
+#define MAX_CLAIM_BACKOFF_US 500000
 #define CONFLICT_BACKOFF_US 2000
 #define CONTENDED_WRITES 16
-#define FAILURES_TO_OUTAGE 2
+#define OUTAGE_FAILURES 2
 #define OUTAGE_PROBE_US 300000
-/* How long a recorded "ran" may wait for another write to go with. */
+/* How long a recorded "ran" outcome may wait to share another write. */
 #define OUTCOME_DELAY_US 5000000
 
-/** One claim, as kept at the platform: [holder, issued_ms, "?" or "y"]. */
+/** One claim, as stored at the platform: [holder, issued_ms, "?" or "y" (ran)]. */
 typedef struct entry_t {
 	char *holder;
 	uint64_t issued_ms;
@@ -30,22 +32,22 @@
 
 typedef enum op_kind_t { OP_CLAIM, OP_RELEASE, OP_RAN } op_kind_t;
 
-/** Something to do to a bucket. */
+/** A pending change of a bucket. */
 typedef struct op_t {
 	op_kind_t kind;
 	char *key;    /* scope and key */
 	char *holder; /* unique to this claim */
 	uint64_t issued_ms;
 	void *owner;
-	bool read_since; /* the bucket has been read after this op came */
-	bool written;	 /* a write that held it was sent; whether it took effect may be unknown */
+	bool read_after_arrival; /* a read of the bucket began after this op arrived */
+	bool written; /* a write with this op was sent; whether it took effect may be unknown */
 } op_t;
 
-/** FILLING: claims are being ended, and whoever is told may claim again in the same moment. */
+/** BUSY: claims are being finished, and their owners may claim again from within the callback. */
 typedef enum bucket_state_t {
 	BUCKET_IDLE,
 	BUCKET_READING,
-	BUCKET_FILLING,
+	BUCKET_BUSY,
 	BUCKET_WRITING,
 	BUCKET_BACKING_OFF,
 } bucket_state_t;
@@ -54,14 +56,14 @@
 	claims_t *claims;
 	uint32_t index;
 	bucket_state_t state;
-	bool known;	    /* version and entries are as last read or written */
-	bool just_read;	    /* and nothing has been waited for since */
-	bool may_write;	    /* a write is paid for */
-	uint32_t contended; /* reads before writes still to be made after a conflict */
+	bool is_current;       /* version and entries are as last read or written */
+	bool just_read;	       /* read since the last write */
+	bool has_write_permit; /* the rate limit is charged for the next write already */
+	uint32_t contended;    /* number of next writes that need a read first, after a conflict */
 	uint64_t version;
 	GHashTable *entries; /* key -> entry_t */
 	GQueue pending;	     /* op_t */
-	GQueue batch;	     /* op_t in the write that is out */
+	GQueue batch;	     /* op_t in the write that is in flight */
 	timer_entry_t timer;
 	uint64_t outcomes_due_us; /* when recorded outcomes get a write of their own */
 	uint32_t failures;
@@ -74,10 +76,10 @@
 	GRand *rand;
 	timers_t timers;
 	bucket_t buckets[CLAIMS_BUCKETS];
-	GHashTable *held; /* key -> holder string of claims of ours */
+	GHashTable *held; /* key -> holder string, of claims that this VM holds */
 	uint64_t last_serial;
 	uint32_t failures;   /* platform calls in a row without an answer */
-	timer_entry_t probe; /* in an outage: asks whether it is over */
+	timer_entry_t probe; /* during an outage: checks whether the platform answers again */
 	uint64_t next_write_us;
 	uint64_t wall_ms;
 	uint64_t writes, won;
@@ -139,9 +141,9 @@
 	g_free(claims);
 }
 
-/* ---- the value of a bucket ---- */
+/* ---- stored value of a bucket ---- */
 
-static void entries_take(bucket_t *bucket, const json_t *value)
+static void entries_load(bucket_t *bucket, const json_t *value)
 {
 	const char *key;
 	json_t *item;
@@ -183,9 +185,9 @@
 	return value;
 }
 
-/* ---- one op against the bucket as known ---- */
+/* ---- applying an op to the known state of its bucket ---- */
 
-static void end_claim(claims_t *claims, op_t *op, claim_end_t end)
+static void finish_claim(claims_t *claims, op_t *op, claim_end_t end)
 {
 	if (end == CLAIM_OURS) {
 		claims->won++;
@@ -204,63 +206,64 @@
 	g_hash_table_insert(bucket->entries, g_strdup(op->key), entry);
 }
 
-/** What is to be done with an op. */
-typedef enum verdict_t { VERDICT_WRITE, VERDICT_READ_FIRST, VERDICT_ENDED } verdict_t;
+/** What an op needs next. */
+typedef enum op_result_t { OP_NEEDS_WRITE, OP_NEEDS_READ, OP_FINISHED } op_result_t;
 
-static verdict_t apply_claim(bucket_t *bucket, op_t *op)
+static op_result_t apply_claim(bucket_t *bucket, op_t *op)
 {
 	claims_t *claims = bucket->claims;
 	const entry_t *entry = g_hash_table_lookup(bucket->entries, op->key);
 
 	/*
-	 * Our own write whose answer was lost: the entry carries this claim's own id. Without this
-	 * check the caller would be told that somebody else holds the key, and nobody would run it.
+	 * A write of this VM whose answer was lost: the entry carries this claim's own id. Without
+	 * this check the caller would be told that another attempt holds the key, and no attempt
+	 * would run the action.
 	 */
 	if (entry && g_str_equal(entry->holder, op->holder)) {
-		end_claim(claims, op, CLAIM_OURS);
-		return VERDICT_ENDED;
+		finish_claim(claims, op, CLAIM_OURS);
+		return OP_FINISHED;
 	}
-	/* The entry may have been given back since we last read. */
-	if (entry && !op->read_since)
-		return VERDICT_READ_FIRST;
+	/* The entry may have been released since the last read. */
+	if (entry && !op->read_after_arrival)
+		return OP_NEEDS_READ;
 	if (entry) {
-		end_claim(claims, op, entry->ran ? CLAIM_RAN : CLAIM_OTHERS);
-		return VERDICT_ENDED;
+		finish_claim(claims, op, entry->ran ? CLAIM_RAN : CLAIM_OTHERS);
+		return OP_FINISHED;
 	}
 	/*
-	 * Checked again right before each write: a process that was paused here for longer than
-	 * claims are kept would not see the claim under which the action has run already.
+	 * Checked again right before each write: a process that was suspended here for longer than
+	 * claims are kept would not see the removed claim under which the action already ran.
 	 */
 	if (op->issued_ms + CLAIMS_KEY_AGE_MS < claims->wall_ms) {
-		end_claim(claims, op, CLAIM_TOO_OLD);
-		return VERDICT_ENDED;
+		finish_claim(claims, op, CLAIM_TOO_OLD);
+		return OP_FINISHED;
 	}
-	if (g_hash_table_size(bucket->entries) >= ENTRIES_MAX) {
-		end_claim(claims, op, CLAIM_UNSETTLED);
-		return VERDICT_ENDED;
+	if (g_hash_table_size(bucket->entries) >= MAX_BUCKET_ENTRIES) {
+		finish_claim(claims, op, CLAIM_UNSETTLED);
+		return OP_FINISHED;
 	}
 	add_entry(bucket, op);
-	return VERDICT_WRITE;
+	return OP_NEEDS_WRITE;
 }
 
-static verdict_t apply_outcome(bucket_t *bucket, op_t *op)
+static op_result_t apply_outcome(bucket_t *bucket, op_t *op)
 {
 	entry_t *entry = g_hash_table_lookup(bucket->entries, op->key);
 
-	/* Only our own claim: the key may be another's by now. */
+	/* Change only this VM's own claim: another attempt may hold the key by now. */
 	if (!entry || !g_str_equal(entry->holder, op->holder) ||
 	    (op->kind == OP_RAN && entry->ran)) {
 		op_free(op);
-		return VERDICT_ENDED;
+		return OP_FINISHED;
 	}
 	if (op->kind == OP_RAN)
 		entry->ran = true;
 	else
 		g_hash_table_remove(bucket->entries, op->key);
-	return VERDICT_WRITE;
+	return OP_NEEDS_WRITE;
 }
 
-/* ---- a bucket's course ---- */
+/* ---- reading and writing a bucket ---- */
 
 static void on_bucket_timer(void *ctx, uint64_t now_us)
 {
@@ -271,7 +274,7 @@
 	bucket_step(bucket, now_us);
 }
 
-static void bucket_wait(bucket_t *bucket, uint64_t until_us)
+static void bucket_set_timer(bucket_t *bucket, uint64_t until_us)
 {
 	bucket->timer.fire = on_bucket_timer;
 	bucket->timer.ctx = bucket;
@@ -282,26 +285,26 @@
 {
 	bucket->state = BUCKET_READING;
 	for (GList *item = bucket->pending.head; item; item = item->next)
-		((op_t *)item->data)->read_since = true;
+		((op_t *)item->data)->read_after_arrival = true;
 	bucket->claims->ops->read(bucket->claims->ctx, bucket->index);
 }
 
-/* Group commit: all that is pending goes into one write. */
+/* Group commit: all pending ops go into one write. */
 static void fill_batch(bucket_t *bucket)
 {
 	GQueue taken = bucket->pending;
 	op_t *op;
 
-	bucket->state = BUCKET_FILLING;
+	bucket->state = BUCKET_BUSY;
 	g_queue_init(&bucket->pending);
 	while ((op = g_queue_pop_head(&taken))) {
-		verdict_t verdict =
+		op_result_t result =
 			op->kind == OP_CLAIM ? apply_claim(bucket, op) : apply_outcome(bucket, op);
 
-		if (verdict == VERDICT_WRITE) {
+		if (result == OP_NEEDS_WRITE) {
 			op->written = true;
 			g_queue_push_tail(&bucket->batch, op);
-		} else if (verdict == VERDICT_READ_FIRST) {
+		} else if (result == OP_NEEDS_READ) {
 			g_queue_push_tail(&bucket->pending, op);
 		}
 	}
@@ -313,13 +316,13 @@
 	json_t *value = entries_json(bucket);
 
 	bucket->state = BUCKET_WRITING;
-	bucket->just_read = bucket->may_write = false;
+	bucket->just_read = bucket->has_write_permit = false;
 	bucket->claims->writes++;
 	bucket->claims->ops->write(bucket->claims->ctx, bucket->index, bucket->version, value);
 	json_decref(value);
 }
 
-static bool only_outcomes_wait(const bucket_t *bucket)
+static bool has_only_outcomes(const bucket_t *bucket)
 {
 	for (const GList *item = bucket->pending.head; item; item = item->next)
 		if (((const op_t *)item->data)->kind != OP_RAN)
@@ -327,16 +330,16 @@
 	return true;
 }
 
-static bool may_write_now(claims_t *claims, uint64_t now_us)
+static bool take_write_permit(claims_t *claims, uint64_t now_us)
 {
-	uint64_t oldest = now_us > WRITE_BURST * WRITE_SPACING_US
-				  ? now_us - WRITE_BURST * WRITE_SPACING_US
+	uint64_t oldest = now_us > WRITE_BURST * WRITE_INTERVAL_US
+				  ? now_us - WRITE_BURST * WRITE_INTERVAL_US
 				  : 0;
 
 	claims->next_write_us = MAX(claims->next_write_us, oldest);
 	if (claims->next_write_us > now_us)
 		return false;
-	claims->next_write_us += WRITE_SPACING_US;
+	claims->next_write_us += WRITE_INTERVAL_US;
 	return true;
 }
 
@@ -346,21 +349,21 @@
 
 	if (bucket->state != BUCKET_IDLE || g_queue_is_empty(&bucket->pending))
 		return;
-	if (only_outcomes_wait(bucket) && now_us < bucket->outcomes_due_us) {
-		bucket_wait(bucket, bucket->outcomes_due_us);
+	if (has_only_outcomes(bucket) && now_us < bucket->outcomes_due_us) {
+		bucket_set_timer(bucket, bucket->outcomes_due_us);
 		return;
 	}
-	if (!bucket->may_write && !may_write_now(claims, now_us)) {
-		bucket_wait(bucket, claims->next_write_us);
+	if (!bucket->has_write_permit && !take_write_permit(claims, now_us)) {
+		bucket_set_timer(bucket, claims->next_write_us);
 		return;
 	}
-	bucket->may_write = true;
+	bucket->has_write_permit = true;
 	/*
-	 * Where other VMs write, too, what is known here is old, and a write that rests on it fails
-	 * and costs one of the platform's few writes. A read just before it costs one of its many
-	 * reads.
+	 * If other VMs write the bucket too, the state known here is outdated, and a write based on
+	 * it fails and uses up one of the platform's few writes. A read just before the write only
+	 * uses one of its many reads.
 	 */
-	if (!bucket->known || (bucket->contended && !bucket->just_read)) {
+	if (!bucket->is_current || (bucket->contended && !bucket->just_read)) {
 		bucket_read(bucket);
 		return;
 	}
@@ -374,32 +377,33 @@
 static void bucket_back_off(bucket_t *bucket, uint64_t most_us, uint64_t now_us)
 {
 	bucket->state = BUCKET_BACKING_OFF;
-	bucket_wait(bucket,
-		    now_us + (uint64_t)g_rand_double_range(bucket->claims->rand,
-							   (double)most_us / 2, (double)most_us));
+	bucket_set_timer(bucket, now_us + (uint64_t)g_rand_double_range(bucket->claims->rand,
+									(double)most_us / 2,
+									(double)most_us));
 }
 
-static void batch_back_to_pending(bucket_t *bucket)
+static void requeue_batch(bucket_t *bucket)
 {
 	op_t *op;
 
 	while ((op = g_queue_pop_tail(&bucket->batch))) {
-		op->read_since = false;
+		op->read_after_arrival = false;
 		g_queue_push_head(&bucket->pending, op);
 	}
-	bucket->known = false;
+	bucket->is_current = false;
 }
 
 static bool in_outage(const claims_t *claims)
 {
-	return claims->failures >= FAILURES_TO_OUTAGE;
+	return claims->failures >= OUTAGE_FAILURES;
 }
 
 /*
- * In an outage nobody can be told more by waiting. A claim whose write may have taken effect is
- * given back once the platform answers again, so that the key can be used.
+ * During an outage waiting cannot settle a claim, so pending claims fail at once. A claim whose
+ * write may have taken effect is released once the platform answers again, so that the key can be
+ * used.
  */
-static void refuse_pending(bucket_t *bucket)
+static void fail_pending_claims(bucket_t *bucket)
 {
 	GQueue taken = bucket->pending;
 	op_t *op;
@@ -428,7 +432,7 @@
 		return;
 	for (uint32_t i = 0; i < CLAIMS_BUCKETS; i++) {
 		if (claims->buckets[i].state == BUCKET_READING)
-			return; /* its end decides, and arms this again if need be */
+			return; /* the read's result ends the outage or arms this timer again */
 	}
 	for (uint32_t i = 0; i < CLAIMS_BUCKETS; i++) {
 		if (claims->buckets[i].state != BUCKET_IDLE)
@@ -449,15 +453,15 @@
 static void call_failed(bucket_t *bucket, uint64_t now_us)
 {
 	claims_t *claims = bucket->claims;
-	uint64_t backoff_us = (uint64_t)BACKOFF_LEAST_US << MIN(bucket->failures, 8);
+	uint64_t backoff_us = (uint64_t)MIN_CLAIM_BACKOFF_US << MIN(bucket->failures, 8);
 
 	bucket->failures++;
 	claims->failures++;
 	if (in_outage(claims)) {
-		refuse_pending(bucket);
+		fail_pending_claims(bucket);
 		arm_probe(claims, now_us);
 	}
-	bucket_back_off(bucket, MIN(backoff_us, BACKOFF_MOST_US), now_us);
+	bucket_back_off(bucket, MIN(backoff_us, MAX_CLAIM_BACKOFF_US), now_us);
 }
 
 static void call_answered(bucket_t *bucket)
@@ -478,25 +482,25 @@
 		return;
 	}
 	call_answered(bucket);
-	bucket->known = bucket->just_read = true;
+	bucket->is_current = bucket->just_read = true;
 	bucket->version = result->version;
-	entries_take(bucket, result->value);
+	entries_load(bucket, result->value);
 	bucket_step(bucket, now_us);
 }
 
 /*
- * Whoever is told that a claim is ours may claim again at once. Without the FILLING state that
- * claim would join the batch that is being ended here, and be told "ours" before any write of it:
- * two VMs could then run one action.
+ * The owner of a finished claim may claim again from within the callback. Without the BUSY state
+ * that claim would join the batch that is being finished here and count as acquired before it was
+ * written: two VMs could then run the same action.
  */
-static void end_batch(bucket_t *bucket)
+static void finish_batch(bucket_t *bucket)
 {
 	op_t *op;
 
-	bucket->state = BUCKET_FILLING;
+	bucket->state = BUCKET_BUSY;
 	while ((op = g_queue_pop_head(&bucket->batch))) {
 		if (op->kind == OP_CLAIM)
-			end_claim(bucket->claims, op, CLAIM_OURS);
+			finish_claim(bucket->claims, op, CLAIM_OURS);
 		else
 			op_free(op);
 	}
@@ -510,26 +514,26 @@
 
 	claims->wall_ms = wall_ms;
 	if (result->end == PLATFORM_UNKNOWN) {
-		/* Settled by reading back: apply_claim() finds our id, or the write is made again.
-		 */
-		batch_back_to_pending(bucket);
+		/* Resolved by reading the bucket: apply_claim() finds this claim's id, or the write
+		 * is sent again. */
+		requeue_batch(bucket);
 		call_failed(bucket, now_us);
 		return;
 	}
 	call_answered(bucket);
 	if (result->end == PLATFORM_CONFLICT) {
 		bucket->contended = CONTENDED_WRITES;
-		batch_back_to_pending(bucket);
+		requeue_batch(bucket);
 		bucket_back_off(bucket, CONFLICT_BACKOFF_US, now_us);
 		return;
 	}
 	bucket->version = result->version;
 	bucket->contended -= bucket->contended > 0;
-	end_batch(bucket);
+	finish_batch(bucket);
 	bucket_step(bucket, now_us);
 }
 
-/* ---- from outside ---- */
+/* ---- public interface ---- */
 
 static bucket_t *bucket_of(claims_t *claims, const char *full_key)
 {
@@ -577,7 +581,7 @@
 	op->issued_ms = issued_ms;
 	op->owner = owner;
 	bucket = bucket_of(claims, op->key);
-	/* Waiting would tell nobody more: the probe finds out when claims can be settled again. */
+	/* Waiting would not settle the claim; the probe detects the end of the outage. */
 	if (in_outage(claims)) {
 		claims->ops->ended(claims->ctx, owner, CLAIM_UNSETTLED);
 		op_free(op);
