--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -362,7 +362,7 @@
 	part->state = PART_WAITING;
 	if (!forward->request.again)
 		retry_budget_note_request(&part->pool->budget, now_us);
-	else if (!retry_budget_take(&part->pool->budget, &part->pool->bound, RETRY_FOR_ANSWER,
+	else if (!retry_budget_take(&part->pool->budget, &part->pool->bound, RETRY_FOR_FAILURE,
 				    now_us))
 		part_lose(part);
 }
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -302,7 +302,7 @@
 	due_us = hedge_at_us(part, searcher, late_us, now_us);
 	if (now_us < due_us)
 		part->hedge_us = due_us;
-	else if (retry_budget_take(&part->pool->budget, bound, RETRY_FOR_SPEED, now_us))
+	else if (retry_budget_take(&part->pool->budget, bound, RETRY_FOR_HEDGE, now_us))
 		part_send(part, searcher, SUB_HEDGE, now_us);
 	else
 		part->hedge_us = now_us < late_us ? late_us : now_us + HEDGE_AGAIN_US;
@@ -323,7 +323,7 @@
 		return part->refusals <= REFUSALS_MOST;
 	if (has_not_run(end) ? part->refusals > REFUSALS_MOST : !may_run_again(part))
 		return false;
-	return retry_budget_take(&part->pool->budget, bound, RETRY_FOR_ANSWER, now_us);
+	return retry_budget_take(&part->pool->budget, bound, RETRY_FOR_FAILURE, now_us);
 }
 
 /*
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -6,11 +6,11 @@
 
 #include <string.h>
 
-/* A tenth of the ratio is left unused: windows of the VMs and of the bound do not begin together.
- */
-#define RATIO_USED 0.9
-/* Hedges leave so much of the budget for requests that have failed outright. */
-#define SPEED_SHARE 0.9
+/* A tenth of the ratio is left unused, because the windows of the VMs and of the limit do not begin
+ * together. */
+#define RATIO_UTILISATION 0.9
+/* Share of the budget that hedges may use; the rest is left for failed requests. */
+#define HEDGE_BUDGET_SHARE 0.9
 void retry_budget_init(retry_budget_t *budget, const retry_bound_t *bound)
 {
 	memset(budget, 0, sizeof(*budget));
@@ -19,8 +19,8 @@
 		budget->slot_us = 1;
 }
 
-/* Empty the slots that the window has left behind. */
-static uint32_t slide(retry_budget_t *budget, uint64_t now_us)
+/* Clears the slots that have left the window; returns the index of the current slot. */
+static uint32_t advance_window(retry_budget_t *budget, uint64_t now_us)
 {
 	uint64_t slot = now_us / budget->slot_us;
 
@@ -37,7 +37,7 @@
 
 void retry_budget_note_request(retry_budget_t *budget, uint64_t now_us)
 {
-	budget->requests[slide(budget, now_us)]++;
+	budget->requests[advance_window(budget, now_us)]++;
 }
 
 static uint32_t sum(const uint32_t *slots)
@@ -49,27 +49,27 @@
 	return total;
 }
 
-/* What the requests of the window allow; slide() first. */
+/* Extra sub-requests that the requests in the window allow; call advance_window() first. */
 static double allowance(const retry_budget_t *budget, const retry_bound_t *bound,
 			retry_purpose_t purpose)
 {
-	double allowed = RATIO_USED * bound->ratio * sum(budget->requests) + bound->constant;
+	double allowed = RATIO_UTILISATION * bound->ratio * sum(budget->requests) + bound->constant;
 
-	return purpose == RETRY_FOR_SPEED ? SPEED_SHARE * allowed : allowed;
+	return purpose == RETRY_FOR_HEDGE ? HEDGE_BUDGET_SHARE * allowed : allowed;
 }
 
 double retry_budget_left(retry_budget_t *budget, const retry_bound_t *bound,
 			 retry_purpose_t purpose, uint64_t now_us)
 {
-	slide(budget, now_us);
+	advance_window(budget, now_us);
 	return allowance(budget, bound, purpose) - sum(budget->extras);
 }
 
 double retry_budget_share_left(retry_budget_t *budget, const retry_bound_t *bound, uint64_t now_us)
 {
-	double left = retry_budget_left(budget, bound, RETRY_FOR_SPEED, now_us);
+	double left = retry_budget_left(budget, bound, RETRY_FOR_HEDGE, now_us);
 
-	return left > 0 ? left / allowance(budget, bound, RETRY_FOR_SPEED) : 0;
+	return left > 0 ? left / allowance(budget, bound, RETRY_FOR_HEDGE) : 0;
 }
 
 bool retry_budget_take(retry_budget_t *budget, const retry_bound_t *bound, retry_purpose_t purpose,
@@ -77,6 +77,6 @@
 {
 	if (retry_budget_left(budget, bound, purpose, now_us) < 1)
 		return false;
-	budget->extras[slide(budget, now_us)]++;
+	budget->extras[advance_window(budget, now_us)]++;
 	return true;
 }
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -79,7 +79,7 @@
 			retry_budget_note_request(&budget, now_us);
 			requests[tenth]++;
 		}
-		while (retry_budget_take(&budget, &bound, RETRY_FOR_ANSWER, now_us))
+		while (retry_budget_take(&budget, &bound, RETRY_FOR_FAILURE, now_us))
 			extras[tenth]++;
 	}
 	for (int start = 0; start + 100 <= 600; start++) {
@@ -108,11 +108,11 @@
 
 	(void)state;
 	retry_budget_init(&budget, &bound);
-	while (retry_budget_take(&budget, &bound, RETRY_FOR_SPEED, 100 * SECOND_US))
+	while (retry_budget_take(&budget, &bound, RETRY_FOR_HEDGE, 100 * SECOND_US))
 		;
-	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_ANSWER, 100 * SECOND_US));
-	assert_false(retry_budget_take(&budget, &bound, RETRY_FOR_SPEED, 101 * SECOND_US));
-	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_SPEED, 111 * SECOND_US));
+	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_FAILURE, 100 * SECOND_US));
+	assert_false(retry_budget_take(&budget, &bound, RETRY_FOR_HEDGE, 101 * SECOND_US));
+	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_HEDGE, 111 * SECOND_US));
 }
 
 /* ---- searchers ---- */
