--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -70,7 +70,7 @@
 	return false;
 }
 
-static uint64_t come_back_us(const forward_t *forward, lack_t lack, uint64_t now_us)
+static uint64_t come_back_us(const forward_t *forward, missing_resource_t lack, uint64_t now_us)
 {
 	return retry_after_us(lack, forward_left_us(forward, now_us),
 			      registry_is_store_away(forward->forwarder->registry));
@@ -81,7 +81,7 @@
 	forward_answer_t answer = {.end = end};
 
 	if (end == FORWARD_NO_SEARCHER)
-		answer.retry_after_us = come_back_us(forward, LACK_SEARCHERS, now_us);
+		answer.retry_after_us = come_back_us(forward, MISSING_SEARCHERS, now_us);
 	else if (end == FORWARD_BLOCKED)
 		answer.retry_after_us = poison_note_refused(forward->forwarder->poison,
 							    forward->request.fingerprint, now_us);
@@ -89,7 +89,7 @@
 		answer.retry_after_us = poison_retry_delay_us(forward->forwarder->poison,
 							      forward->request.fingerprint, now_us);
 	else if (end == FORWARD_TOO_LATE || end == FORWARD_FULL || end == FORWARD_REJECTED)
-		answer.retry_after_us = come_back_us(forward, LACK_ROOM, now_us);
+		answer.retry_after_us = come_back_us(forward, MISSING_CAPACITY, now_us);
 	forward_finish(forward, &answer, now_us);
 }
 
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -429,9 +429,9 @@
 	bool away = registry_is_store_away(forwarder->registry);
 
 	if (end == FORWARD_NOT_READY)
-		answer.retry_after_us = retry_after_us(LACK_NEWS, request->patience_us, away);
+		answer.retry_after_us = retry_after_us(MISSING_STATE, request->patience_us, away);
 	if (end == FORWARD_LEAVING)
-		answer.retry_after_us = retry_after_us(LACK_VM, request->patience_us, away);
+		answer.retry_after_us = retry_after_us(MISSING_VM, request->patience_us, away);
 	forwarder->counters.ends[end]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
--- a/src/core/retry_after.c
+++ b/src/core/retry_after.c
@@ -4,37 +4,41 @@
  */
 #include "core/retry_after.h"
 
-/* A caller that comes again is sent to another VM: this one has not been ready for seconds. */
-#define VM_US 10000
-/* A searcher's full queue of 12 empties in about this time. */
-#define ROOM_US 60000
-/* The store answers, and its list is on the way: it comes within a second of the start. */
-#define NEWS_US 300000
-/* A searcher registers again with its next heartbeat, each 1.2 s: half of that on average. */
-#define SEARCHERS_US 600000
-/* Of the caller's patience, where nobody knows how long it takes: callers heed a third of what they
- * have left. After all VMs had lost power while the store was away, 220 of 841 requests of two
- * seconds were refused when told to come back in 60 or 300 ms. */
-#define PATIENCE_SHARE 0.32
+/* The caller's retry is routed to another VM: this VM has reported not ready for seconds. */
+#define OTHER_VM_DELAY_US 10000
+/* A searcher's full queue of 12 requests drains in about this time. */
+#define QUEUE_DRAIN_US 60000
+/* The store is reachable and its list is being read: it arrives within a second of the VM's start.
+ */
+#define STATE_DELAY_US 300000
+/* A searcher registers again with its next heartbeat, sent every 1.2 s: on average after half of
+ * that. */
+#define REGISTRATION_DELAY_US 600000
+/* Share of the caller's remaining time, used as the delay when nobody knows how long the resource
+ * will be missing: callers wait for at most a third of the time that they have left. With delays of
+ * 60 or 300 ms, 220 of 841 requests with a timeout of two seconds were rejected after all VMs had
+ * lost power while the store was unreachable. */
+#define CALLER_TIME_SHARE 0.32
 
-static uint64_t least_us(lack_t lack)
+static uint64_t base_delay_us(missing_resource_t missing)
 {
-	static const uint64_t times_us[] = {[LACK_NEWS] = NEWS_US,
-					    [LACK_SEARCHERS] = SEARCHERS_US,
-					    [LACK_ROOM] = ROOM_US,
-					    [LACK_VM] = VM_US};
+	static const uint64_t times_us[] = {[MISSING_STATE] = STATE_DELAY_US,
+					    [MISSING_SEARCHERS] = REGISTRATION_DELAY_US,
+					    [MISSING_CAPACITY] = QUEUE_DRAIN_US,
+					    [MISSING_VM] = OTHER_VM_DELAY_US};
 
-	return times_us[lack];
+	return times_us[missing];
 }
 
-uint64_t retry_after_us(lack_t lack, uint64_t patience_us, bool store_away)
+uint64_t retry_after_us(missing_resource_t missing, uint64_t caller_timeout_us,
+			bool store_unreachable)
 {
-	uint64_t share_us = (uint64_t)(PATIENCE_SHARE * (double)patience_us);
-	uint64_t time_us = least_us(lack);
+	uint64_t share_us = (uint64_t)(CALLER_TIME_SHARE * (double)caller_timeout_us);
+	uint64_t time_us = base_delay_us(missing);
 
-	if (lack == LACK_VM || lack == LACK_ROOM)
+	if (missing == MISSING_VM || missing == MISSING_CAPACITY)
 		return time_us;
-	if (store_away && share_us > time_us)
+	if (store_unreachable && share_us > time_us)
 		return share_us;
-	return patience_us && share_us < time_us ? share_us : time_us;
+	return caller_timeout_us && share_us < time_us ? share_us : time_us;
 }
--- a/src/core/retry_after.h
+++ b/src/core/retry_after.h
@@ -1,9 +1,10 @@
 /**
  * @file retry_after.h
- * When a caller whose request has not run is told to come back.
+ * Retry delay that a caller gets whose request has not run.
  *
- * Callers come back once or twice, and heed at most a third of the time that they have left. Told
- * to come back before what is missing can be there, they spend their last try on the same refusal.
+ * Callers retry once or twice, and wait for at most a third of the time that they have left. If the
+ * delay ends before the missing resource can be available, they use up their last retry on the same
+ * rejection.
  */
 #ifndef DS_RETRY_AFTER_H
 #define DS_RETRY_AFTER_H
@@ -11,18 +12,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What a request lacked. */
-typedef enum lack_t {
-	LACK_NEWS,	/**< nothing is known yet, this VM has just started */
-	LACK_SEARCHERS, /**< none is registered that may be sent work */
-	LACK_ROOM,	/**< searchers are full, or refuse */
-	LACK_VM,	/**< this VM is about to end; others are there */
-} lack_t;
+/** The resource whose absence kept a request from running. */
+typedef enum missing_resource_t {
+	MISSING_STATE, /**< the store's state: this VM has just started and has not read it yet */
+	MISSING_SEARCHERS, /**< searchers: none is registered that may be sent work */
+	MISSING_CAPACITY,  /**< free capacity: searchers are full or reject requests */
+	MISSING_VM,	   /**< this VM: it is shutting down, and others are available */
+} missing_resource_t;
 
 /**
- * @param patience_us how long the caller waits from now on; 0: not known
- * @param store_away the store does not answer: news and entries come only after its return
+ * @param caller_timeout_us how long the caller still waits from now on; 0: unknown
+ * @param store_unreachable the store does not answer: its state, and entries of searchers, arrive
+ * only after it has recovered
  */
-uint64_t retry_after_us(lack_t lack, uint64_t patience_us, bool store_away);
+uint64_t retry_after_us(missing_resource_t missing, uint64_t caller_timeout_us,
+			bool store_unreachable);
 
 #endif
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -342,7 +342,7 @@
 {
 	const forward_answer_t answer = {
 		.end = FORWARD_NOT_READY,
-		.retry_after_us = retry_after_us(LACK_NEWS, relay->request.patience_us,
+		.retry_after_us = retry_after_us(MISSING_STATE, relay->request.patience_us,
 						 registry_is_store_away(task->registry))};
 
 	g_message("event=answer request=%s outcome=not-ready reason=configuration-behind",
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -100,7 +100,7 @@
 	'one that refuses a share is asked once only|src/core/part.c|s/if \(yield_lost\(&searcher->yield, now_us\) > REFUSES_A_SHARE &&/if (0 \&\&/'
 	'parts are left out in the order of the shards|src/core/forwarder.c|s/wait_us\(part, now_us\) > wait_us\(longest, now_us\)/0/'
 	'a shard that is short all the time is waited for as long|src/core/shedding.c|s/define SHED_SHARE_FACTOR 4/define SHED_SHARE_FACTOR 0/'
-	'callers come back before the store|src/core/retry_after.c|s/if \(store_away && share_us > time_us\)/if (0)/'
+	'callers come back before the store|src/core/retry_after.c|s/if \(store_unreachable && share_us > time_us\)/if (0)/'
 	'an announced change is not read|src/core/follow.c|s/follow->lists = follow->owed;/follow->lists = false;/'
 	'a VM stops watching for a feed that it did not take|src/core/follow.c|s/follow->owed = true;/follow->owed = true;\n\tfollow->watches = false;/'
 	'a gatherer that is behind answers after one that is ahead|src/core/handover.c|s/all->version = version;/;/'
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -639,15 +639,15 @@
 	const uint64_t patient_us = 4 * SECOND_US, hasty_us = SECOND_US / 2;
 
 	(void)state;
-	assert_int_equal(retry_after_us(LACK_ROOM, patient_us, false), 60000);
-	assert_int_equal(retry_after_us(LACK_ROOM, hasty_us, true), 60000);
-	assert_int_equal(retry_after_us(LACK_VM, patient_us, true), 10000);
-	assert_int_equal(retry_after_us(LACK_NEWS, patient_us, false), 300000);
-	assert_int_equal(retry_after_us(LACK_NEWS, patient_us, true), 1280000);
-	assert_int_equal(retry_after_us(LACK_NEWS, hasty_us, false), 160000);
-	assert_int_equal(retry_after_us(LACK_NEWS, 0, true), 300000);
-	assert_int_equal(retry_after_us(LACK_SEARCHERS, patient_us, false), 600000);
-	assert_int_equal(retry_after_us(LACK_SEARCHERS, patient_us, true), 1280000);
+	assert_int_equal(retry_after_us(MISSING_CAPACITY, patient_us, false), 60000);
+	assert_int_equal(retry_after_us(MISSING_CAPACITY, hasty_us, true), 60000);
+	assert_int_equal(retry_after_us(MISSING_VM, patient_us, true), 10000);
+	assert_int_equal(retry_after_us(MISSING_STATE, patient_us, false), 300000);
+	assert_int_equal(retry_after_us(MISSING_STATE, patient_us, true), 1280000);
+	assert_int_equal(retry_after_us(MISSING_STATE, hasty_us, false), 160000);
+	assert_int_equal(retry_after_us(MISSING_STATE, 0, true), 300000);
+	assert_int_equal(retry_after_us(MISSING_SEARCHERS, patient_us, false), 600000);
+	assert_int_equal(retry_after_us(MISSING_SEARCHERS, patient_us, true), 1280000);
 }
 
 /* ---- fingerprints ---- */
