--- a/src/core/fingerprint.c
+++ b/src/core/fingerprint.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The end of the line that begins at @p at. */
+/* Returns the start of the line after the one that begins at @p at. */
 static const char *line_end(const char *at, const char *end)
 {
 	const char *found = memchr(at, '\n', (size_t)(end - at));
@@ -16,7 +16,7 @@
 	return found ? found + 1 : end;
 }
 
-/* The first header line with this name in any case, or NULL. */
+/* Returns the text after the name of the first header called @p name, in any case, or NULL. */
 static const char *find_header(const GString *head, const char *name)
 {
 	const char *end = head->str + head->len;
@@ -39,7 +39,7 @@
 	XXH3_64bits_update(state, "", 1);
 }
 
-/* Of the headers only those that name the caller: others differ from one attempt to the next. */
+/* Includes only the headers that identify the caller; others differ between attempts. */
 fingerprint_t fingerprint_of(const GString *head, const GString *body)
 {
 	const char *rest = line_end(head->str, head->str + head->len);
@@ -53,12 +53,12 @@
 	return MAX(XXH3_64bits_digest(&state), 1);
 }
 
-void fingerprint_write(fingerprint_t fingerprint, char text[FINGERPRINT_TEXT_BYTES])
+void fingerprint_format(fingerprint_t fingerprint, char text[FINGERPRINT_TEXT_BYTES])
 {
 	g_snprintf(text, FINGERPRINT_TEXT_BYTES, "%016" G_GINT64_MODIFIER "x", fingerprint);
 }
 
-fingerprint_t fingerprint_read(const char *text)
+fingerprint_t fingerprint_parse(const char *text)
 {
 	if (strlen(text) != FINGERPRINT_TEXT_BYTES - 1 ||
 	    strspn(text, "0123456789abcdef") != FINGERPRINT_TEXT_BYTES - 1)
--- a/src/core/fingerprint.h
+++ b/src/core/fingerprint.h
@@ -1,9 +1,10 @@
 /**
  * @file fingerprint.h
- * What two attempts at the same request have in common: method, target, caller and body.
+ * Fingerprint of a request: a hash of what its attempts have in common, which is the method,
+ * target, caller and body.
  *
- * Each attempt of a caller bears an id of its own, so an id says nothing of the request's earlier
- * attempts, at this VM or at another one. All VMs work out the same fingerprint.
+ * Each attempt of a caller has an id of its own, so an id does not identify earlier attempts at the
+ * same request, on this VM or on another one. All VMs compute the same fingerprint.
  */
 #ifndef DS_FINGERPRINT_H
 #define DS_FINGERPRINT_H
@@ -11,16 +12,17 @@
 #include <glib.h>
 #include <stdint.h>
 
-/* Hexadecimal digits, and the NUL. */
+/* 16 hexadecimal digits and the terminating NUL. */
 #define FINGERPRINT_TEXT_BYTES 17
 
-/** 0: not known. */
+/** 0: unknown. */
 typedef uint64_t fingerprint_t;
 
-/** Of a request by its @p head (request line and headers, each line ended by CRLF) and @p body. */
+/** Hash a request by its @p head (request line and headers, each line ended by CRLF) and @p body.
+ */
 fingerprint_t fingerprint_of(const GString *head, const GString *body);
-void fingerprint_write(fingerprint_t fingerprint, char text[FINGERPRINT_TEXT_BYTES]);
-/** 0 when @p text is not what fingerprint_write() writes. */
-fingerprint_t fingerprint_read(const char *text);
+void fingerprint_format(fingerprint_t fingerprint, char text[FINGERPRINT_TEXT_BYTES]);
+/** Parse the output of fingerprint_format(); 0 if @p text is invalid. */
+fingerprint_t fingerprint_parse(const char *text);
 
 #endif
--- a/src/queries/front_log.c
+++ b/src/queries/front_log.c
@@ -13,7 +13,7 @@
 {
 	char text[FINGERPRINT_TEXT_BYTES];
 
-	fingerprint_write(fingerprint, text);
+	fingerprint_format(fingerprint, text);
 	g_string_append_printf(line, " fingerprint=%s", text);
 }
 
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -254,7 +254,7 @@
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)ctx;
-	fingerprint_write(news->fingerprint, text);
+	fingerprint_format(news->fingerprint, text);
 	g_log(news->strikes > 1 ? LOG_DECISIONS : NULL, G_LOG_LEVEL_MESSAGE,
 	      "event=poison fingerprint=%s outcome=%s strikes=%u service=%s", text, what,
 	      news->strikes, news->service);
@@ -275,7 +275,7 @@
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)ctx;
-	fingerprint_write(trial->fingerprint, text);
+	fingerprint_format(trial->fingerprint, text);
 	log_decision("event=poison-trial fingerprint=%s outcome=%s searcher=%s why=%s number=%u "
 		     "strikes=%u took_us=%" G_GUINT64_FORMAT,
 		     text, trial->outcome, trial->searcher, trial->why, trial->number,
--- a/src/tasks/poison_task.c
+++ b/src/tasks/poison_task.c
@@ -89,7 +89,7 @@
 	g_autofree char *body = store_write_poison(&call->news);
 	g_autofree char *target = NULL;
 
-	fingerprint_write(call->news.fingerprint, name);
+	fingerprint_format(call->news.fingerprint, name);
 	target = store_write_target(STORE_POISON, call->replaces ? name : NULL);
 	platform_task_send(call->task->platform, call->replaces ? "PUT" : "POST", target, body,
 			   CALL_TIMEOUT_US, on_put, call);
@@ -118,7 +118,7 @@
 	char name[FINGERPRINT_TEXT_BYTES];
 	g_autofree char *target = NULL;
 
-	fingerprint_write(fingerprint, name);
+	fingerprint_format(fingerprint, name);
 	target = store_write_target(STORE_POISON, name);
 	platform_task_send(task->platform, "DELETE", target, NULL, CALL_TIMEOUT_US, on_deleted,
 			   task);
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -685,13 +685,13 @@
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)state;
-	fingerprint_write(0x0123456789abcdefull, text);
+	fingerprint_format(0x0123456789abcdefull, text);
 	assert_string_equal(text, "0123456789abcdef");
-	assert_true(fingerprint_read(text) == 0x0123456789abcdefull);
-	assert_true(fingerprint_read("") == 0);
-	assert_true(fingerprint_read("0123456789abcde") == 0);
-	assert_true(fingerprint_read("0123456789abcdeg") == 0);
-	assert_true(fingerprint_read("0123456789abcdef0") == 0);
+	assert_true(fingerprint_parse(text) == 0x0123456789abcdefull);
+	assert_true(fingerprint_parse("") == 0);
+	assert_true(fingerprint_parse("0123456789abcde") == 0);
+	assert_true(fingerprint_parse("0123456789abcdeg") == 0);
+	assert_true(fingerprint_parse("0123456789abcdef0") == 0);
 }
 
 int main(void)
