--- a/src/core/json_salvage.c
+++ b/src/core/json_salvage.c
@@ -8,10 +8,11 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* What the product reads lies within eight levels; deeper, a value is given up as a whole. */
-#define DEPTH_MOST 16
+/* The JSON that this program reads has at most eight levels. A damaged value nested deeper than
+ * MAX_DEPTH is dropped as a whole. */
+#define MAX_DEPTH 16
 
-/* The part of a text that is still to be read. */
+/* The part of a text that is not parsed yet. */
 typedef struct span_t {
 	const char *at;
 	const char *end;
@@ -32,7 +33,7 @@
 	return true;
 }
 
-/* A backslash hides the byte after it; nothing else matters for where a string ends. */
+/* A backslash escapes the byte after it; no other escape rule affects where a string ends. */
 static bool skip_string(span_t *span)
 {
 	for (span->at++; span->at < span->end; span->at++) {
@@ -50,7 +51,7 @@
 	return byte == ',' || byte == '}' || byte == ']';
 }
 
-/* To the bracket that closes the one at the start, whatever stands between. */
+/* Skips to the bracket that closes the first one, whatever is between them. */
 static bool skip_brackets(span_t *span)
 {
 	uint32_t open = 0;
@@ -86,7 +87,8 @@
 
 static json_t *salvage(const char *text, size_t bytes, uint32_t depth, uint32_t *damaged);
 
-/* The value at the start of @p span, which moves behind it; NULL when it has no end. */
+/* Parses the value at the start of @p span and moves @p span behind it; NULL if the value has no
+ * end. */
 static json_t *salvage_next(span_t *span, uint32_t depth, uint32_t *damaged)
 {
 	const char *from;
@@ -121,7 +123,8 @@
 	return value != NULL;
 }
 
-/* Members are damaged one by one; where what separates them is, the object is. */
+/* A damaged member is replaced by null; if a separator between members is damaged, the whole object
+ * is. */
 static bool salvage_members(json_t *object, span_t *span, uint32_t depth, uint32_t *damaged)
 {
 	if (skip_byte(span, '}'))
@@ -169,13 +172,13 @@
 	return NULL;
 }
 
-/* Sound values are read by the library; only damaged ones are taken apart. */
+/* The library parses valid values; only damaged ones are parsed here member by member. */
 static json_t *salvage(const char *text, size_t bytes, uint32_t depth, uint32_t *damaged)
 {
 	span_t span = {.at = text, .end = text + bytes};
 	json_t *whole = json_loadb(text, bytes, JSON_DECODE_ANY, NULL);
 
-	if (whole || depth > DEPTH_MOST)
+	if (whole || depth > MAX_DEPTH)
 		return whole;
 	skip_blanks(&span);
 	if (span.at == span.end)
--- a/src/core/json_salvage.h
+++ b/src/core/json_salvage.h
@@ -1,9 +1,9 @@
 /**
  * @file json_salvage.h
- * Reads JSON of which parts are damaged, and keeps the rest.
+ * Parses partly damaged JSON and keeps the intact values.
  *
- * One writer's bad bytes in a page of many objects must not hide the others: a JSON library rejects
- * the page as a whole, and with it every searcher that the page lists.
+ * One writer's invalid bytes in a page of many objects must not hide the other objects: a JSON
+ * library rejects the page as a whole, and with it every searcher that the page lists.
  */
 #ifndef DS_JSON_SALVAGE_H
 #define DS_JSON_SALVAGE_H
@@ -13,9 +13,9 @@
 #include <stdint.h>
 
 /**
- * Read @p text; a member or element that can't be read becomes null.
- * @param damaged counts those; not changed when the text is sound
- * @return NULL when not even the outermost value has a beginning and an end
+ * Parse @p text; a member or element that can't be parsed becomes null.
+ * @param damaged incremented for each such value; unchanged if the text is valid
+ * @return NULL if not even the outermost value is complete
  */
 json_t *json_salvage(const char *text, size_t bytes, uint32_t *damaged);
 
