--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -12,13 +12,13 @@
 #define MAX_BUCKET_ENTRIES 8000
 /* Rate limit for the writes of one VM: the platform takes several hundred writes per second from
  * all VMs together. */
-#define WRITE_INTERVAL_US 25000
+#define CLAIM_WRITE_INTERVAL_US 25000
 #define WRITE_BURST 20
 #define MIN_CLAIM_BACKOFF_US 5000
 #define MAX_CLAIM_BACKOFF_US 500000
 #define CONFLICT_BACKOFF_US 2000
 #define CONTENDED_WRITES 16
-#define OUTAGE_FAILURES 2
+#define CLAIM_OUTAGE_FAILURES 2
 #define OUTAGE_PROBE_US 300000
 /* How long a recorded "ran" outcome may wait to share another write. */
 #define OUTCOME_DELAY_US 5000000
@@ -332,14 +332,14 @@
 
 static bool take_write_permit(claims_t *claims, uint64_t now_us)
 {
-	uint64_t oldest = now_us > WRITE_BURST * WRITE_INTERVAL_US
-				  ? now_us - WRITE_BURST * WRITE_INTERVAL_US
+	uint64_t oldest = now_us > WRITE_BURST * CLAIM_WRITE_INTERVAL_US
+				  ? now_us - WRITE_BURST * CLAIM_WRITE_INTERVAL_US
 				  : 0;
 
 	claims->next_write_us = MAX(claims->next_write_us, oldest);
 	if (claims->next_write_us > now_us)
 		return false;
-	claims->next_write_us += WRITE_INTERVAL_US;
+	claims->next_write_us += CLAIM_WRITE_INTERVAL_US;
 	return true;
 }
 
@@ -395,7 +395,7 @@
 
 static bool in_outage(const claims_t *claims)
 {
-	return claims->failures >= OUTAGE_FAILURES;
+	return claims->failures >= CLAIM_OUTAGE_FAILURES;
 }
 
 /*
--- a/src/core/forward_suspect.c
+++ b/src/core/forward_suspect.c
@@ -7,7 +7,7 @@
 
 /* An attempt is held back for at most this long. Most trials finish within it; after that it is
  * better to tell the caller when to retry. */
-#define MAX_HOLD_US 300000
+#define MAX_TRIAL_HOLD_US 300000
 /* Minimum time left until the caller's deadline for a trial. A trial cut short by the deadline is
  * inconclusive, because the searcher may have been about to crash. */
 #define MIN_TRIAL_US 500000
@@ -68,7 +68,7 @@
 	return (double)forward_left_us(forward, now_us) >= least_us;
 }
 
-static void request_permission(forward_t *forward, uint64_t now_us)
+static void request_send_permission(forward_t *forward, uint64_t now_us)
 {
 	trial_decision_t decision =
 		poison_decide(forward->forwarder->poison, forward->request.fingerprint,
@@ -79,7 +79,7 @@
 	if (!forward->held_from_us)
 		forward->held_from_us = now_us;
 	if (decision == TRIAL_RETRY_LATER ||
-	    (decision == TRIAL_WAIT && now_us >= forward->held_from_us + MAX_HOLD_US))
+	    (decision == TRIAL_WAIT && now_us >= forward->held_from_us + MAX_TRIAL_HOLD_US))
 		forward->has_lost_turn = true;
 }
 
@@ -125,7 +125,7 @@
 	if (forward->probe || placement_is_all_probed(&candidates))
 		return;
 	if (!forward->has_turn)
-		request_permission(forward, now_us);
+		request_send_permission(forward, now_us);
 	while (forward->has_turn && !forward->probe && can_reach_coverage(forward) &&
 	       (part = held_part(forward))) {
 		forward->probe = part;
--- a/src/core/gate.c
+++ b/src/core/gate.c
@@ -4,18 +4,18 @@
  */
 #include "core/gate.h"
 
-#define INITIAL_RUN_US 10000.0
-#define RUN_AVERAGE_WEIGHT 0.05
+#define GATE_INITIAL_RUN_US 10000.0
+#define GATE_RUN_WEIGHT 0.05
 /* One in this many picks admits the earliest arrival at the head of a queue, whatever its class. */
 #define FAIR_PICK_INTERVAL 8
 /* An entry that has waited for less may be displaced by a more urgent one. */
 #define DISPLACEABLE_AGE_US 4000
-#define RETRY_BASE_DELAY_US 20000
-#define RETRY_HORIZON_US 10000000
+#define GATE_RETRY_BASE_US 20000
+#define GATE_RETRY_HORIZON_US 10000000
 
 void gate_init(gate_t *gate)
 {
-	*gate = (gate_t){.run_us = INITIAL_RUN_US, .capacity = 1};
+	*gate = (gate_t){.run_us = GATE_INITIAL_RUN_US, .capacity = 1};
 	for (int i = 0; i < CLASS_COUNT; i++)
 		g_queue_init(&gate->waiting[i]);
 }
@@ -35,7 +35,7 @@
 }
 
 /* Number of waiting entries of the same or a more urgent class, which are admitted first. */
-static uint32_t count_ahead(const gate_t *gate, const gate_entry_t *entry)
+static uint32_t gate_count_ahead(const gate_t *gate, const gate_entry_t *entry)
 {
 	uint32_t ahead = 0;
 
@@ -55,13 +55,15 @@
 	static const double max_runs_ahead[CLASS_COUNT] = {
 		[CLASS_URGENT] = 1.5, [CLASS_NORMAL] = 1, [CLASS_BACKGROUND] = 0.5};
 
-	return count_ahead(gate, entry) < MAX(max_runs_ahead[entry->class] * gate->capacity, 1.0) &&
+	return gate_count_ahead(gate, entry) <
+		       MAX(max_runs_ahead[entry->class] * gate->capacity, 1.0) &&
 	       gate->waiting[entry->class].length < gate->queue_limit;
 }
 
 static bool meets_deadline(const gate_t *gate, const gate_entry_t *entry, uint64_t now_us)
 {
-	double wait_us = (count_ahead(gate, entry) + 1) * gate->run_us / MAX(gate->capacity, 1.0);
+	double wait_us =
+		(gate_count_ahead(gate, entry) + 1) * gate->run_us / MAX(gate->capacity, 1.0);
 
 	return (double)entry->deadline_us > (double)now_us + wait_us + gate->run_us;
 }
@@ -84,7 +86,7 @@
 
 gate_verdict_t gate_offer(gate_t *gate, gate_entry_t *entry, uint64_t now_us)
 {
-	if (has_capacity(gate) && count_ahead(gate, entry) == 0) {
+	if (has_capacity(gate) && gate_count_ahead(gate, entry) == 0) {
 		gate->running++;
 		return GATE_RUN;
 	}
@@ -169,7 +171,7 @@
 {
 	g_assert(gate->running > 0);
 	gate->running--;
-	gate->run_us += RUN_AVERAGE_WEIGHT * ((double)run_us - gate->run_us);
+	gate->run_us += GATE_RUN_WEIGHT * ((double)run_us - gate->run_us);
 }
 
 uint64_t gate_retry_delay_us(gate_t *gate, uint64_t now_us, GRand *rand)
@@ -184,11 +186,11 @@
 	 */
 	gate->retry_slot_us = MAX(gate->retry_slot_us, now_us + backlog_us) + (uint64_t)spacing_us;
 	after_us = gate->retry_slot_us - now_us;
-	if (after_us > RETRY_HORIZON_US) {
-		gate->retry_slot_us = now_us + RETRY_HORIZON_US;
-		return (uint64_t)g_rand_double_range(rand, RETRY_HORIZON_US / 2.0,
-						     RETRY_HORIZON_US);
+	if (after_us > GATE_RETRY_HORIZON_US) {
+		gate->retry_slot_us = now_us + GATE_RETRY_HORIZON_US;
+		return (uint64_t)g_rand_double_range(rand, GATE_RETRY_HORIZON_US / 2.0,
+						     GATE_RETRY_HORIZON_US);
 	}
-	return RETRY_BASE_DELAY_US + after_us +
+	return GATE_RETRY_BASE_US + after_us +
 	       (uint64_t)g_rand_double_range(rand, 0, (double)after_us / 4 + 1000);
 }
--- a/src/core/json_salvage.c
+++ b/src/core/json_salvage.c
@@ -9,8 +9,8 @@
 #include <string.h>
 
 /* The JSON that this program reads has at most eight levels. A damaged value nested deeper than
- * MAX_DEPTH is dropped as a whole. */
-#define MAX_DEPTH 16
+ * MAX_SALVAGE_DEPTH is dropped as a whole. */
+#define MAX_SALVAGE_DEPTH 16
 
 /* The part of a text that is not parsed yet. */
 typedef struct span_t {
@@ -178,7 +178,7 @@
 	span_t span = {.at = text, .end = text + bytes};
 	json_t *whole = json_loadb(text, bytes, JSON_DECODE_ANY, NULL);
 
-	if (whole || depth > MAX_DEPTH)
+	if (whole || depth > MAX_SALVAGE_DEPTH)
 		return whole;
 	skip_blanks(&span);
 	if (span.at == span.end)
--- a/src/core/poison.c
+++ b/src/core/poison.c
@@ -8,7 +8,7 @@
 #define SUSPECT_RETENTION_US (10 * 60 * 1000000ull)
 /* Records expire on all VMs at about the same time. With jitter one VM is first and removes the
  * request from the store, and the others receive the removal. */
-#define EXPIRY_JITTER_US 60000000
+#define RECORD_EXPIRY_JITTER_US 60000000
 /* Delay before the retrial of a blocked request. By then a concurrent event that terminated
  * searchers is over, and those searchers have restarted. */
 #define RETRIAL_DELAY_US 10000000
@@ -130,7 +130,7 @@
 /* Evicts the record with the fewest strikes, and of those the oldest: a caller that sends many
  * poison requests must not evict blocked ones while others can be evicted. The request is also
  * removed from the store, where it would otherwise stay forever once all VMs have evicted it. */
-static void evict_one(poison_t *poison)
+static void evict_record(poison_t *poison)
 {
 	record_t *victim = NULL;
 	GHashTableIter iter;
@@ -158,7 +158,7 @@
 	if (record)
 		return record;
 	if (g_hash_table_size(poison->records) >= POISON_MAX_RECORDS)
-		evict_one(poison);
+		evict_record(poison);
 	record = g_new0(record_t, 1);
 	record->poison = poison;
 	record->fingerprint = fingerprint;
@@ -174,8 +174,9 @@
 	if (record->strikes >= POISON_STRIKES)
 		retention_us += BLOCK_DURATION_US;
 	record->period_start_us = from_us;
-	record->expires_us = from_us + retention_us +
-			     (uint64_t)g_rand_int_range(record->poison->rand, 0, EXPIRY_JITTER_US);
+	record->expires_us =
+		from_us + retention_us +
+		(uint64_t)g_rand_int_range(record->poison->rand, 0, RECORD_EXPIRY_JITTER_US);
 }
 
 /* ---- strikes ---- */
--- a/src/core/poison_share.c
+++ b/src/core/poison_share.c
@@ -7,21 +7,21 @@
 /* Most first strikes hit requests that ran concurrently with a poison request. Their retries clear
  * them within some tens of ms, so they need not be published. The delay is well below the time
  * within which VMs must agree. */
-#define PUBLISH_DELAY_US 300000
+#define STRIKE_PUBLISH_DELAY_US 300000
 /* Rate limit for publishing first strikes: when many searchers terminate together, their strikes
  * must not flood the store. Later strikes are rare and are published at once. */
-#define PUBLISH_BURST 8
-#define PUBLISH_PERIOD_US 500000
+#define STRIKE_PUBLISH_BURST 8
+#define STRIKE_PUBLISH_PERIOD_US 500000
 /*
  * After this many crashes without any answer, the request is very likely the cause and not a
- * concurrent one. It is published without PUBLISH_DELAY_US, because its caller retries at another
- * VM within some tens of ms and would crash the remaining searchers from there.
+ * concurrent one. It is published without STRIKE_PUBLISH_DELAY_US, because its caller retries at
+ * another VM within some tens of ms and would crash the remaining searchers from there.
  */
 #define URGENT_CRASHES 3
 /* Limit on urgent updates: when a data centre is lost, innocent requests look the same. */
 #define URGENT_BURST 2
 /* Delay before a failed update is published again. */
-#define PUBLISH_RETRY_US 1000000
+#define STRIKE_PUBLISH_RETRY_US 1000000
 
 /* After the store was restored from a backup copy, each VM that watches the store republishes its
  * records at a random time within the first period, unless it receives the same update from another
@@ -55,7 +55,7 @@
 
 void poison_note_further_crash(record_t *record, uint64_t now_us)
 {
-	const store_rate_t rate = {URGENT_BURST, PUBLISH_PERIOD_US};
+	const store_rate_t rate = {URGENT_BURST, STRIKE_PUBLISH_PERIOD_US};
 	uint64_t at_us;
 
 	if (record->strikes != 1 || !record->publish_us ||
@@ -67,13 +67,13 @@
 
 uint64_t poison_next_publish_us(poison_t *poison, const record_t *record, uint64_t now_us)
 {
-	const store_rate_t rate = {PUBLISH_BURST, PUBLISH_PERIOD_US};
+	const store_rate_t rate = {STRIKE_PUBLISH_BURST, STRIKE_PUBLISH_PERIOD_US};
 	uint64_t at_us;
 
 	if (record->strikes > 1)
 		return now_us;
 	at_us = take_rate_slot(&rate, &poison->publish_slot_us, now_us);
-	return MAX(now_us + PUBLISH_DELAY_US, at_us);
+	return MAX(now_us + STRIKE_PUBLISH_DELAY_US, at_us);
 }
 
 void poison_publish(record_t *record)
@@ -88,7 +88,7 @@
 
 /* ---- updates from the store ---- */
 
-static bool is_ahead_of(const record_t *record, const poison_update_t *update)
+static bool is_ahead_of_update(const record_t *record, const poison_update_t *update)
 {
 	return update->strikes < record->strikes || update->trials < record->trial.done;
 }
@@ -109,7 +109,7 @@
 		record->publish_us = 0;
 		poison_set_strikes(record, update->strikes, update->service, now_us);
 		poison_log_change(record, "told-by-other-vm");
-	} else if (is_ahead_of(record, update)) {
+	} else if (is_ahead_of_update(record, update)) {
 		if (!record->publish_us)
 			record->publish_us = now_us;
 	} else if (update->strikes == record->strikes && update->renewals == record->renewals) {
@@ -191,6 +191,6 @@
 	if (written)
 		record->stored = MAX(record->stored, update->strikes);
 	else if (!record->publish_us)
-		record->publish_us = now_us + PUBLISH_RETRY_US;
+		record->publish_us = now_us + STRIKE_PUBLISH_RETRY_US;
 	poison_record_arm(record);
 }
--- a/src/core/poison_trials.c
+++ b/src/core/poison_trials.c
@@ -82,7 +82,7 @@
 }
 
 /* Without this limit a suspect whose callers all have little time left would never be tried. */
-static bool is_overdue(const record_t *record, uint64_t now_us)
+static bool is_trial_overdue(const record_t *record, uint64_t now_us)
 {
 	return now_us >= MAX(record->trial.next_us, record->struck_us) + ANY_CALLER_AFTER_US;
 }
@@ -99,7 +99,7 @@
 		return may_probe(record, now_us) ? TRIAL_NOT_NEEDED : TRIAL_WAIT;
 	if (is_unpublished(record) && trial_begin_local(&record->trial))
 		return TRIAL_BEGIN;
-	if (!has_time && !is_overdue(record, now_us))
+	if (!has_time && !is_trial_overdue(record, now_us))
 		return TRIAL_RETRY_LATER;
 	decision = trial_decide(&record->trial, now_us);
 	if (decision == TRIAL_MAY_CLAIM && !take_claim_slot(poison, now_us))
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -8,9 +8,9 @@
 
 /* A tenth of the ratio is left unused, because the windows of the VMs and of the limit do not begin
  * together. */
-#define RATIO_UTILISATION 0.9
+#define RETRY_RATIO_UTILISATION 0.9
 /* Share of the budget that hedges may use; the rest is left for failed requests. */
-#define HEDGE_BUDGET_SHARE 0.9
+#define RETRY_BUDGET_HEDGE_SHARE 0.9
 void retry_budget_init(retry_budget_t *budget, const retry_bound_t *bound)
 {
 	memset(budget, 0, sizeof(*budget));
@@ -20,7 +20,7 @@
 }
 
 /* Clears the slots that have left the window; returns the index of the current slot. */
-static uint32_t advance_window(retry_budget_t *budget, uint64_t now_us)
+static uint32_t retry_budget_advance(retry_budget_t *budget, uint64_t now_us)
 {
 	uint64_t slot = now_us / budget->slot_us;
 
@@ -37,7 +37,7 @@
 
 void retry_budget_note_request(retry_budget_t *budget, uint64_t now_us)
 {
-	budget->requests[advance_window(budget, now_us)]++;
+	budget->requests[retry_budget_advance(budget, now_us)]++;
 }
 
 static uint32_t sum(const uint32_t *slots)
@@ -49,19 +49,20 @@
 	return total;
 }
 
-/* Extra sub-requests that the requests in the window allow; call advance_window() first. */
+/* Extra sub-requests that the requests in the window allow; call retry_budget_advance() first. */
 static double allowance(const retry_budget_t *budget, const retry_bound_t *bound,
 			retry_purpose_t purpose)
 {
-	double allowed = RATIO_UTILISATION * bound->ratio * sum(budget->requests) + bound->constant;
+	double allowed =
+		RETRY_RATIO_UTILISATION * bound->ratio * sum(budget->requests) + bound->constant;
 
-	return purpose == RETRY_FOR_HEDGE ? HEDGE_BUDGET_SHARE * allowed : allowed;
+	return purpose == RETRY_FOR_HEDGE ? RETRY_BUDGET_HEDGE_SHARE * allowed : allowed;
 }
 
 double retry_budget_left(retry_budget_t *budget, const retry_bound_t *bound,
 			 retry_purpose_t purpose, uint64_t now_us)
 {
-	advance_window(budget, now_us);
+	retry_budget_advance(budget, now_us);
 	return allowance(budget, bound, purpose) - sum(budget->extras);
 }
 
@@ -77,6 +78,6 @@
 {
 	if (retry_budget_left(budget, bound, purpose, now_us) < 1)
 		return false;
-	budget->extras[advance_window(budget, now_us)]++;
+	budget->extras[retry_budget_advance(budget, now_us)]++;
 	return true;
 }
--- a/src/core/shedding.c
+++ b/src/core/shedding.c
@@ -13,12 +13,12 @@
 #define SHED_SHARE_WEIGHT 0.02
 /*
  * A part is shed when its expected answer comes after the target. The expected time is multiplied
- * by a factor that grows with the shed share, up to MAX_WAIT_FACTOR: the wait is an average, and an
- * answer that comes just too late is wasted work. The factor starts at 1, because in a short burst
- * a higher one would shed parts that could still be answered in time.
+ * by a factor that grows with the shed share, up to MAX_SHED_WAIT_FACTOR: the wait is an average,
+ * and an answer that comes just too late is wasted work. The factor starts at 1, because in a short
+ * burst a higher one would shed parts that could still be answered in time.
  */
 #define SHED_SHARE_FACTOR 4
-#define MAX_WAIT_FACTOR 2.2
+#define MAX_SHED_WAIT_FACTOR 2.2
 
 bool shedding_is_allowed(const forward_t *forward)
 {
@@ -31,7 +31,7 @@
 {
 	const candidates_t candidates = part_candidates(part);
 	const pool_t *pool = part->pool;
-	double wait_factor = MIN(1 + SHED_SHARE_FACTOR * pool->shed_share, MAX_WAIT_FACTOR);
+	double wait_factor = MIN(1 + SHED_SHARE_FACTOR * pool->shed_share, MAX_SHED_WAIT_FACTOR);
 	double takes_us = placement_wait_us(&candidates, now_us) + placement_typical_us(pool);
 
 	return now_us + (uint64_t)(wait_factor * takes_us) > part->forward->partial_us;
--- a/src/core/trial.c
+++ b/src/core/trial.c
@@ -10,9 +10,10 @@
  * another region takes some tens of ms. */
 #define CLAIM_TIMEOUT_US 250000
 /* A granted trial must begin within this time, or it is skipped. */
-#define GRANT_TIMEOUT_US 1000000
+#define TRIAL_GRANT_TIMEOUT_US 1000000
 /* A trial claimed by another VM counts as lost if no update arrives within this time. Longer than
- * the sum of GRANT_TIMEOUT_US, a searcher's run and the time for the result to arrive here. */
+ * the sum of TRIAL_GRANT_TIMEOUT_US, a searcher's run and the time for the result to arrive here.
+ */
 #define REMOTE_TRIAL_TIMEOUT_US 4000000
 /*
  * Minimum pause between trials. An event that terminates one searcher may terminate others within
@@ -43,7 +44,7 @@
 static bool has_lapsed(const trial_t *trial, uint64_t now_us)
 {
 	if (trial->state == TRIAL_GRANTED)
-		return now_us >= trial->since_us + GRANT_TIMEOUT_US;
+		return now_us >= trial->since_us + TRIAL_GRANT_TIMEOUT_US;
 	return trial->state == TRIAL_CLAIMED_ELSEWHERE &&
 	       now_us >= trial->since_us + REMOTE_TRIAL_TIMEOUT_US;
 }
