--- a/tests/load_test.c
+++ b/tests/load_test.c
@@ -1,9 +1,9 @@
 /**
  * @file load_test.c
- * Plays the scenarios of load and faults in virtual time and checks what callers get.
+ * Runs the scenarios of load and faults in virtual time and checks which answers callers get.
  *
- *     load_test           check, with three seeds each
- *     load_test table [SEEDS]     print a row for each scenario, for scripts/loads.sh
+ *     load_test                   check each scenario with three seeds
+ *     load_test table [SEEDS]     print a row per scenario, for scripts/loads.sh
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,9 +19,9 @@
 
 #define SEEDS 3
 
-/** A scenario, and the least share of its requests that is answered in time with enough parts. */
+/** A scenario, and the minimum share of its requests that is answered in time with enough parts. */
 typedef struct load_case_t {
-	load_plan_t plan;
+	load_scenario_t scenario;
 	double least;
 } load_case_t;
 
@@ -32,12 +32,13 @@
 	{{"three-short", "three shards of ten offered 120 %", 3, 1.2}, 0.85},
 	{{"busy", "two searchers of three refuse 60 %", 0, 1.0, LOAD_BUSY, 1, 0.6}, 0.90},
 	{{"errors", "two of three fail 40 %", 0, 0.7, LOAD_ERRORS, 1, 0.4}, 0.98},
-	{{"mute", "two of three never answer 40 %", 0, 0.7, LOAD_MUTE, 1, 0.4}, 0.95},
+	{{"mute", "two of three never answer 40 %", 0, 0.7, LOAD_NO_ANSWER, 1, 0.4}, 0.95},
 	{{"reset", "two of three cut 40 %", 0, 0.7, LOAD_RESET, 1, 0.4}, 0.98},
 	{{"slow", "half of the searchers take four times as long", 0, 0.7, LOAD_SLOW, 0.75, 1},
 	 0.95},
-	/* Broad requests can't do without two shards of ten: for 3.5 s of the 18 that count, the
-	 * end of their rest, they can't be served; from then on all are. */
+	/* Requests of the route "broad" need more than eight shards of ten. They can't be served
+	 * for 3.5 s of the counted 18 s, until the crashed searchers are warm; from then on all
+	 * are. */
 	{{"crash", "all searchers of two shards end and come back cold", 0, 0.7, LOAD_CRASH, 0.2,
 	  1},
 	 0.82},
@@ -62,23 +63,23 @@
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
 		load_result_t result;
 
-		load_play(&load->plan, seed, &result);
+		load_run(&load->scenario, seed, &result);
 		sum += served(&result);
-		if (result.pressed)
+		if (result.cold_overloads)
 			fail_msg("%s, seed %u: %u searchers end for having been pressed while cold",
-				 load->plan.name, seed, result.pressed);
+				 load->scenario.name, seed, result.cold_overloads);
 		if (result.worst_extra > 1)
 			fail_msg("%s, seed %u: %.2f of the bound on extra sub-requests",
-				 load->plan.name, seed, result.worst_extra);
+				 load->scenario.name, seed, result.worst_extra);
 	}
 	if (sum / SEEDS < load->least)
-		fail_msg("%s: %.3f of the requests served, %.3f wanted", load->plan.name,
+		fail_msg("%s: %.3f of the requests served, %.3f wanted", load->scenario.name,
 			 sum / SEEDS, load->least);
 }
 
-/* The world's arithmetic: M/M/1 at 70 % keeps load^2 / (1 - load) = 1.63 requests waiting. One run
- * of 600 s spreads by some 6 %. */
-static void test_theory(void **state)
+/* Checks the simulation against queueing theory: M/M/1 at 70 % load has load^2 / (1 - load) = 1.63
+ * requests waiting. The results of runs of 600 s vary by some 6 %. */
+static void test_queueing_theory(void **state)
 {
 	const double loads[] = {0.5, 0.7};
 
@@ -88,7 +89,7 @@
 		double sum = 0;
 
 		for (uint32_t seed = 1; seed <= 4; seed++)
-			sum += load_play_single(loads[i], seed, 600);
+			sum += load_run_single(loads[i], seed, 600);
 		if (fabs(sum / 4 / expected - 1) > 0.1)
 			fail_msg("at %.1f: %.3f wait, theory says %.3f", loads[i], sum / 4,
 				 expected);
@@ -114,7 +115,7 @@
 	for (uint32_t seed = 1; seed <= seeds; seed++) {
 		double share;
 
-		load_play(&load->plan, seed, &result);
+		load_run(&load->scenario, seed, &result);
 		share = served(&result);
 		sum += share;
 		squares += share * share;
@@ -122,15 +123,15 @@
 	}
 	mean = sum / seeds;
 	spread = seeds > 1 ? sqrt(MAX(squares - sum * mean, 0) / (seeds - 1)) : 0;
-	printf("%-12s served %.3f sd %.3f extra %.3f: %s\n", load->plan.name, mean, spread,
-	       extra / seeds, load->plan.what);
+	printf("%-12s served %.3f sd %.3f extra %.3f: %s\n", load->scenario.name, mean, spread,
+	       extra / seeds, load->scenario.what);
 	for (uint32_t i = 0; i < LOAD_ROUTES; i++)
 		print_route(&result.routes[i]);
 }
 
 int main(int argc, char **argv)
 {
-	struct CMUnitTest tests[G_N_ELEMENTS(cases) + 1] = {cmocka_unit_test(test_theory)};
+	struct CMUnitTest tests[G_N_ELEMENTS(cases) + 1] = {cmocka_unit_test(test_queueing_theory)};
 
 	if (argc > 1 && !strcmp(argv[1], "table")) {
 		for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
@@ -138,7 +139,7 @@
 		return 0;
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-		tests[i + 1] = (struct CMUnitTest){.name = cases[i].plan.name,
+		tests[i + 1] = (struct CMUnitTest){.name = cases[i].scenario.name,
 						   .test_func = test_case,
 						   .initial_state = (void *)&cases[i]};
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/load_world.c
+++ b/tests/load_world.c
@@ -15,21 +15,22 @@
 #define SHARDS 10
 #define SLOTS 3
 #define CONNECTIONS 31
-/* What a searcher lets wait before it refuses. */
-#define QUEUE_MOST 12
-#define NEAR_WAY_US 250
-#define FAR_WAY_US (8 * MS)
-#define CALLER_WAY_US (1 * MS)
+/* Queue length at which a searcher rejects sub-requests. */
+#define MAX_QUEUE 12
+#define NEAR_LATENCY_US 250
+#define FAR_LATENCY_US (8 * MS)
+#define CALLER_LATENCY_US (1 * MS)
 #define HANDSHAKE_US (6 * MS)
 #define PAUSE_US (250 * MS)
-#define PAUSE_EACH_US (6000 * MS)
-#define SLOW_TIMES 4
-/* A searcher that has ended is back after so long, and cold for so long. */
-#define BACK_US (1500 * MS)
+#define PAUSE_PERIOD_US (6000 * MS)
+#define SLOW_FACTOR 4
+/* A crashed searcher restarts after RESTART_US and is cold for COLD_US. */
+#define RESTART_US (1500 * MS)
 #define COLD_US (3000 * MS)
-/* What it bears a second while it is cold, and from how many on it ends: the users' rule. */
+/* Sub-requests per second that a cold searcher can take, and the number within a second above which
+ * it crashes. */
 #define COLD_PER_S 4
-#define COLD_MOST (COLD_PER_S * 1.5 + 5)
+#define MAX_COLD_REQUESTS (COLD_PER_S * 1.5 + 5)
 #define RATIO 0.2
 #define CONSTANT 58
 #define WINDOW_US (10000 * MS)
@@ -38,14 +39,14 @@
 #define COUNT_FROM_US (6000 * MS)
 #define COUNT_TO_US (24000 * MS)
 #define END_US (30000 * MS)
-/* VMs of the data centres take requests in these proportions. */
+/* Shares of the requests that the VMs of each data centre get. */
 static const double weights[DATA_CENTRES] = {0.18, 0.31, 0.51};
 
 static const char *const data_centres[DATA_CENTRES] = {"north", "town", "lake"};
 
 typedef struct route_plan_t {
 	const char *name;
-	double share; /* of the requests */
+	double share; /* share of the requests */
 	uint32_t work_us, target_us, patience_us;
 	double least;
 } route_plan_t;
@@ -65,16 +66,16 @@
 	uint32_t data_centre;
 	uint32_t slots;
 	uint32_t busy;
-	uint32_t queue_most;
+	uint32_t max_queue;
 	uint32_t connections;
 	uint64_t pause_at_us; /* when its next pause starts; 0: it never pauses */
 	bool faulty;
-	uint64_t down_until_us, cold_until_us; /* after it has ended */
-	uint64_t changes;		       /* of its entry */
-	GArray *cold_us;		       /* times of what it was sent while cold */
+	uint64_t down_until_us, cold_until_us; /* after a crash */
+	uint64_t changes;		       /* version of its entry */
+	GArray *cold_us;		       /* arrival times of sub-requests while it is cold */
 	timer_entry_t back;
 	GQueue queue;	  /* job_t */
-	double waited_us; /* time that requests spent in the queue */
+	double waited_us; /* total time that sub-requests spent in the queue */
 } server_t;
 
 typedef struct vm_sim_t {
@@ -84,21 +85,21 @@
 	forwarder_t *forwarder;
 } vm_sim_t;
 
-/* A sub-request on its way, in a queue, at work, or on its way back. */
+/* A sub-request in transit, queued, running, or its reply in transit. */
 typedef struct job_t {
 	timer_entry_t timer;
 	load_world_t *world;
 	vm_sim_t *vm;
 	server_t *server;
-	sub_t *sub; /* NULL once it was cancelled */
+	sub_t *sub; /* NULL once the VM has cancelled it */
 	uint32_t work_us;
 	uint64_t deadline_us, queued_us;
 	sub_end_t end;
 	bool connects;
-	bool mute; /* no answer comes: the VM gives it up, and with it the connection */
+	bool no_answer; /* never answered: the VM gives it up and closes the connection */
 } job_t;
 
-/* A caller, through all its tries. */
+/* A caller with all its attempts. */
 typedef struct caller_t {
 	timer_entry_t timer;
 	load_world_t *world;
@@ -111,7 +112,7 @@
 } caller_t;
 
 struct load_world_t {
-	const load_plan_t *plan;
+	const load_scenario_t *scenario;
 	load_result_t *result;
 	uint64_t now_us;
 	timers_t timers;
@@ -119,14 +120,14 @@
 	vm_sim_t vms[VMS];
 	GPtrArray *servers; /* server_t */
 	GHashTable *by_id;
-	GHashTable *firsts; /* "request shard" */
+	GHashTable *first_keys; /* set of "request shard": has been sent before */
 	GArray *extra_us[SHARDS];
 	GArray *request_us;
 	timer_entry_t arrival;
 	timer_entry_t crash;
 	double per_s;
-	uint64_t end_us; /* of the callers' traffic */
-	uint32_t ids;
+	uint64_t end_us; /* end of the callers' traffic */
+	uint32_t next_id;
 };
 
 static double uniform(load_world_t *world)
@@ -139,8 +140,8 @@
 	return -mean * log(1 - uniform(world));
 }
 
-static void after(load_world_t *world, timer_entry_t *timer, uint64_t us,
-		  void (*fire)(void *ctx, uint64_t now_us), void *ctx)
+static void schedule(load_world_t *world, timer_entry_t *timer, uint64_t us,
+		     void (*fire)(void *ctx, uint64_t now_us), void *ctx)
 {
 	timer->fire = fire;
 	timer->ctx = ctx;
@@ -149,17 +150,17 @@
 
 /* ---- searchers ---- */
 
-static uint64_t way_us(const job_t *job)
+static uint64_t latency_us(const job_t *job)
 {
-	return job->vm->data_centre == job->server->data_centre ? NEAR_WAY_US : FAR_WAY_US;
+	return job->vm->data_centre == job->server->data_centre ? NEAR_LATENCY_US : FAR_LATENCY_US;
 }
 
-static bool fault_is_on(const load_world_t *world)
+static bool is_fault_active(const load_world_t *world)
 {
 	return world->now_us >= BEGIN_US + FAULT_FROM_US;
 }
 
-static void arrive_back(void *ctx, uint64_t now_us)
+static void reply_arrives(void *ctx, uint64_t now_us)
 {
 	job_t *job = ctx;
 	sub_t *sub = job->sub;
@@ -181,10 +182,10 @@
 	g_free(job);
 }
 
-static void send_back(job_t *job, sub_end_t end)
+static void send_reply(job_t *job, sub_end_t end)
 {
 	job->end = end;
-	after(job->world, &job->timer, way_us(job), arrive_back, job);
+	schedule(job->world, &job->timer, latency_us(job), reply_arrives, job);
 }
 
 static void start_next(server_t *server);
@@ -194,36 +195,36 @@
 	job_t *job = ctx;
 	load_world_t *world = job->world;
 	server_t *server = job->server;
-	bool faulty =
-		server->faulty && fault_is_on(world) && uniform(world) < world->plan->fault_odds;
+	bool faulty = server->faulty && is_fault_active(world) &&
+		      uniform(world) < world->scenario->fault_odds;
 	sub_end_t end = SUB_ANSWERED;
 
 	server->busy--;
-	if (faulty && world->plan->fault == LOAD_ERRORS)
+	if (faulty && world->scenario->fault == LOAD_ERRORS)
 		end = SUB_FAILED;
-	if (faulty && world->plan->fault == LOAD_RESET)
+	if (faulty && world->scenario->fault == LOAD_RESET)
 		end = SUB_UNKNOWN;
 	if (now_us >= job->deadline_us)
-		end = SUB_FAILED; /* it stopped at the deadline that it was told */
-	job->mute = faulty && world->plan->fault == LOAD_MUTE;
-	if (!job->mute)
-		send_back(job, end);
+		end = SUB_FAILED; /* the searcher stopped at the deadline that it was sent */
+	job->no_answer = faulty && world->scenario->fault == LOAD_NO_ANSWER;
+	if (!job->no_answer)
+		send_reply(job, end);
 	else if (!job->sub)
 		g_free(job);
 	start_next(server);
 }
 
-/* All slots stand still while it pauses: what is at work then takes so much longer. */
+/* All slots stop while the searcher pauses, which prolongs the running sub-requests. */
 static uint64_t pause_left_us(server_t *server, uint64_t now_us)
 {
 	if (!server->pause_at_us)
 		return 0;
 	while (server->pause_at_us + PAUSE_US <= now_us)
-		server->pause_at_us += PAUSE_EACH_US;
+		server->pause_at_us += PAUSE_PERIOD_US;
 	return server->pause_at_us <= now_us ? server->pause_at_us + PAUSE_US - now_us : 0;
 }
 
-static uint64_t time_at_work_us(server_t *server, uint64_t work_us, uint64_t now_us)
+static uint64_t run_time_us(server_t *server, uint64_t work_us, uint64_t now_us)
 {
 	uint64_t first_us = pause_left_us(server, now_us);
 	uint64_t from_us = now_us + first_us;
@@ -239,18 +240,18 @@
 	load_world_t *world = job->world;
 	uint64_t work_us = job->work_us, takes_us;
 
-	if (server->faulty && fault_is_on(world) && world->plan->fault == LOAD_SLOW)
-		work_us *= SLOW_TIMES;
+	if (server->faulty && is_fault_active(world) && world->scenario->fault == LOAD_SLOW)
+		work_us *= SLOW_FACTOR;
 	if (job->connects)
 		work_us += HANDSHAKE_US;
-	takes_us = time_at_work_us(server, work_us, world->now_us);
+	takes_us = run_time_us(server, work_us, world->now_us);
 	if (world->now_us + takes_us > job->deadline_us)
 		takes_us = job->deadline_us - world->now_us;
 	server->busy++;
-	after(world, &job->timer, takes_us, work_done, job);
+	schedule(world, &job->timer, takes_us, work_done, job);
 }
 
-/* What has waited past its deadline, or was cancelled, is passed by. */
+/* Skips jobs that were cancelled or whose deadline has passed. */
 static void start_next(server_t *server)
 {
 	uint64_t now_us = server->world->now_us;
@@ -261,16 +262,16 @@
 		if (!job->sub)
 			g_free(job);
 		else if (now_us >= job->deadline_us)
-			send_back(job, SUB_NOT_RUN);
+			send_reply(job, SUB_NOT_RUN);
 		else
 			start_work(job);
 	}
 }
 
-static uint32_t within(const GArray *times, uint64_t from_us);
+static uint32_t count_since(const GArray *times, uint64_t from_us);
 
-/* The VMs as each has them in its list, for so long that all count. */
-static uint32_t share_of(const vm_sim_t *vm, const server_t *server)
+/* This VM's share of a cold searcher, with all VMs listed for long enough to be counted. */
+static uint32_t cold_share_for(const vm_sim_t *vm, const server_t *server)
 {
 	static const cold_bound_t bound = {.per_s = COLD_PER_S, .gathered = true};
 	g_autoptr(GPtrArray) vms = g_ptr_array_new_with_free_func(vm_free);
@@ -286,7 +287,7 @@
 	return cold_share_of(&members, &bound, server->id);
 }
 
-static void tell_of_server(vm_sim_t *vm, const server_t *server, uint64_t now_us)
+static void update_server_entry(vm_sim_t *vm, const server_t *server, uint64_t now_us)
 {
 	const searcher_entry_t entry = {.id = (char *)server->id,
 					.service = (char *)server->service,
@@ -297,14 +298,14 @@
 					.cold_us = COLD_US,
 					.changes = server->changes};
 
-	registry_find(vm->registry, server->id)->cold_share = share_of(vm, server);
-	/* Another rest, however long the one before was. */
+	registry_find(vm->registry, server->id)->cold_share = cold_share_for(vm, server);
+	/* Lets the registry see a new cold period, however long the last one was. */
 	registry_find(vm->registry, server->id)->cold_us = 0;
 	registry_put(vm->registry, &entry, now_us);
 }
 
-/* Back, and cold: all VMs hear of it, and know what each may send it. */
-static void come_back(void *ctx, uint64_t now_us)
+/* The searcher is available again, and cold: all VMs get its entry and their share of it. */
+static void restart_server(void *ctx, uint64_t now_us)
 {
 	server_t *server = ctx;
 	load_world_t *world = server->world;
@@ -314,16 +315,16 @@
 	server->changes++;
 	g_array_set_size(server->cold_us, 0);
 	for (uint32_t i = 0; i < VMS; i++)
-		tell_of_server(&world->vms[i], server, now_us);
+		update_server_entry(&world->vms[i], server, now_us);
 }
 
-static void end_server(server_t *server)
+static void crash_server(server_t *server)
 {
-	server->down_until_us = server->world->now_us + BACK_US;
-	after(server->world, &server->back, BACK_US, come_back, server);
+	server->down_until_us = server->world->now_us + RESTART_US;
+	schedule(server->world, &server->back, RESTART_US, restart_server, server);
 }
 
-static void end_faulty(void *ctx, uint64_t now_us)
+static void crash_faulty_servers(void *ctx, uint64_t now_us)
 {
 	load_world_t *world = ctx;
 
@@ -332,16 +333,17 @@
 		server_t *server = g_ptr_array_index(world->servers, i);
 
 		if (server->faulty)
-			end_server(server);
+			crash_server(server);
 	}
 }
 
-static bool is_pressed(server_t *server, uint64_t now_us)
+static bool is_cold_overloaded(server_t *server, uint64_t now_us)
 {
 	if (now_us >= server->cold_until_us)
 		return false;
 	g_array_append_val(server->cold_us, now_us);
-	return within(server->cold_us, now_us > 1000 * MS ? now_us - 1000 * MS : 0) > COLD_MOST;
+	return count_since(server->cold_us, now_us > 1000 * MS ? now_us - 1000 * MS : 0) >
+	       MAX_COLD_REQUESTS;
 }
 
 static void arrive_at_server(void *ctx, uint64_t now_us)
@@ -349,19 +351,20 @@
 	job_t *job = ctx;
 	server_t *server = job->server;
 	load_world_t *world = job->world;
-	bool sheds = server->faulty && fault_is_on(world) && world->plan->fault == LOAD_BUSY &&
-		     uniform(world) < world->plan->fault_odds;
+	bool sheds = server->faulty && is_fault_active(world) &&
+		     world->scenario->fault == LOAD_BUSY &&
+		     uniform(world) < world->scenario->fault_odds;
 
-	if (!server->down_until_us && is_pressed(server, now_us)) {
-		world->result->pressed++;
-		end_server(server);
+	if (!server->down_until_us && is_cold_overloaded(server, now_us)) {
+		world->result->cold_overloads++;
+		crash_server(server);
 	}
 	if (server->down_until_us) {
-		send_back(job, SUB_NOT_SENT);
+		send_reply(job, SUB_NOT_SENT);
 		return;
 	}
-	if (sheds || server->queue.length >= server->queue_most || now_us >= job->deadline_us) {
-		send_back(job, SUB_NOT_RUN);
+	if (sheds || server->queue.length >= server->max_queue || now_us >= job->deadline_us) {
+		send_reply(job, SUB_NOT_RUN);
 		return;
 	}
 	job->queued_us = now_us;
@@ -371,7 +374,7 @@
 
 /* ---- VMs ---- */
 
-static uint32_t within(const GArray *times, uint64_t from_us)
+static uint32_t count_since(const GArray *times, uint64_t from_us)
 {
 	uint32_t count = 0;
 
@@ -387,19 +390,20 @@
 	double share;
 
 	world->result->sub_requests++;
-	if (g_hash_table_add(world->firsts, g_steal_pointer(&key)))
+	if (g_hash_table_add(world->first_keys, g_steal_pointer(&key)))
 		return;
 	world->result->extras++;
 	g_array_append_val(world->extra_us[sub->part], world->now_us);
-	share = within(world->extra_us[sub->part], from_us) /
-		(RATIO * within(world->request_us, from_us) + CONSTANT);
+	share = count_since(world->extra_us[sub->part], from_us) /
+		(RATIO * count_since(world->request_us, from_us) + CONSTANT);
 	world->result->worst_extra = MAX(world->result->worst_extra, share);
 }
 
-/* A revision without it tells searchers what is left of the caller's time. */
+/* Missing in some revisions that scripts/loads.sh compares with. Those send searchers the caller's
+ * remaining time as deadline. */
 __attribute__((weak)) uint64_t sub_left_us(const sub_t *sub, uint64_t now_us);
 
-static uint64_t told_us(const sub_t *sub, uint64_t now_us)
+static uint64_t deadline_left_us(const sub_t *sub, uint64_t now_us)
 {
 	return sub_left_us ? sub_left_us(sub, now_us) : forward_left_us(sub->forward, now_us);
 }
@@ -422,9 +426,9 @@
 	job->vm = vm;
 	job->sub = sub;
 	job->server = g_hash_table_lookup(world->by_id, sub->searcher->id);
-	job->work_us = world->plan ? draw_work_us(world, route_plans[caller->route].work_us)
-				   : (uint32_t)exponential(world, 10 * MS);
-	job->deadline_us = world->now_us + told_us(sub, world->now_us);
+	job->work_us = world->scenario ? draw_work_us(world, route_plans[caller->route].work_us)
+				       : (uint32_t)exponential(world, 10 * MS);
+	job->deadline_us = world->now_us + deadline_left_us(sub, world->now_us);
 	job->connects = !sub->searcher->idle;
 	if (job->connects) {
 		sub->searcher->connections++;
@@ -433,12 +437,15 @@
 		sub->searcher->idle--;
 	}
 	sub->carrier = job;
-	if (!job->server->down_until_us) /* else nobody listens, and nothing arrives */
+	if (!job->server
+		     ->down_until_us) /* otherwise the connection is refused, and nothing arrives */
 		count_arrival(world, sub);
-	after(world, &job->timer, way_us(job) * (job->connects ? 3 : 1), arrive_at_server, job);
+	schedule(world, &job->timer, latency_us(job) * (job->connects ? 3 : 1), arrive_at_server,
+		 job);
 }
 
-/* The connection is closed; what is in the queue there is dropped, what is at work runs on. */
+/* The VM closes the connection; the searcher drops the job if it is queued, and runs it to its end
+ * if it is running. */
 static void on_cancel(void *ctx, sub_t *sub)
 {
 	job_t *job = sub->carrier;
@@ -447,13 +454,13 @@
 	job->sub = NULL;
 	sub->searcher->connections--;
 	job->server->connections--;
-	if (job->mute)
+	if (job->no_answer)
 		g_free(job);
 }
 
-static void try_again(void *ctx, uint64_t now_us);
+static void retry(void *ctx, uint64_t now_us);
 
-static bool comes_back(caller_t *caller, uint64_t retry_after_us)
+static bool schedule_retry(caller_t *caller, uint64_t retry_after_us)
 {
 	const route_plan_t *route = &route_plans[caller->route];
 	load_world_t *world = caller->world;
@@ -462,12 +469,12 @@
 
 	if (caller->tries > 1 || left_us < 10 * MS)
 		return false;
-	after(world, &caller->timer, MIN(retry_after_us, left_us / 3) + 2 * CALLER_WAY_US,
-	      try_again, caller);
+	schedule(world, &caller->timer, MIN(retry_after_us, left_us / 3) + 2 * CALLER_LATENCY_US,
+		 retry, caller);
 	return true;
 }
 
-static bool counts(const caller_t *caller)
+static bool is_counted(const caller_t *caller)
 {
 	return caller->first_us >= BEGIN_US + COUNT_FROM_US &&
 	       caller->first_us < BEGIN_US + COUNT_TO_US;
@@ -476,10 +483,10 @@
 static void count_answer(caller_t *caller, const forward_answer_t *answer)
 {
 	load_route_t *route = &caller->world->result->routes[caller->route];
-	uint64_t took_us = caller->world->now_us + CALLER_WAY_US - caller->first_us;
+	uint64_t took_us = caller->world->now_us + CALLER_LATENCY_US - caller->first_us;
 	bool is_late = took_us > route_plans[caller->route].target_us;
 
-	if (!counts(caller))
+	if (!is_counted(caller))
 		return;
 	route->asked++;
 	histogram_add(&route->took, took_us);
@@ -498,7 +505,7 @@
 	caller_t *caller = forward->owner;
 
 	(void)ctx;
-	if (answer->end != FORWARD_ANSWERED && comes_back(caller, answer->retry_after_us))
+	if (answer->end != FORWARD_ANSWERED && schedule_retry(caller, answer->retry_after_us))
 		return;
 	count_answer(caller, answer);
 	g_free(caller);
@@ -527,14 +534,14 @@
 				     .patience_us = plan->patience_us - gone_us};
 	load_world_t *world = caller->world;
 
-	caller->vm = &world->vms[world->plan ? draw_vm(world) : 0];
+	caller->vm = &world->vms[world->scenario ? draw_vm(world) : 0];
 	caller->tries++;
-	g_snprintf(caller->id, sizeof(caller->id), "q%u", world->ids++);
+	g_snprintf(caller->id, sizeof(caller->id), "q%u", world->next_id++);
 	g_array_append_val(world->request_us, now_us);
 	forwarder_submit(caller->vm->forwarder, &request, caller, now_us);
 }
 
-static void try_again(void *ctx, uint64_t now_us)
+static void retry(void *ctx, uint64_t now_us)
 {
 	submit(ctx, now_us);
 }
@@ -549,11 +556,11 @@
 	caller = g_new0(caller_t, 1);
 	caller->world = world;
 	caller->first_us = now_us;
-	caller->route = world->plan && uniform(world) >= route_plans[0].share;
+	caller->route = world->scenario && uniform(world) >= route_plans[0].share;
 	g_strlcpy(caller->target, caller->route ? "/1/" : "/0/", sizeof(caller->target));
 	submit(caller, now_us);
-	after(world, &world->arrival, (uint64_t)exponential(world, 1e6 / world->per_s),
-	      next_arrival, world);
+	schedule(world, &world->arrival, (uint64_t)exponential(world, 1e6 / world->per_s),
+		 next_arrival, world);
 }
 
 /* ---- set-up ---- */
@@ -571,8 +578,8 @@
 	server->world = world;
 	server->data_centre = data_centre;
 	server->slots = SLOTS;
-	server->queue_most = QUEUE_MOST;
-	server->pause_at_us = BEGIN_US + (uint64_t)(uniform(world) * PAUSE_EACH_US);
+	server->max_queue = MAX_QUEUE;
+	server->pause_at_us = BEGIN_US + (uint64_t)(uniform(world) * PAUSE_PERIOD_US);
 	g_snprintf(server->id, sizeof(server->id), "s%u-%u", shard, data_centre);
 	g_snprintf(server->service, sizeof(server->service), "s%u", shard);
 	g_queue_init(&server->queue);
@@ -581,7 +588,8 @@
 	g_hash_table_insert(world->by_id, server->id, server);
 }
 
-/* One searcher of each shard, another one from shard to shard, is spared. */
+/* One searcher of each shard has no fault, in a different data centre from shard to shard. With
+ * LOAD_CRASH, all searchers of the first shards are faulty. */
 static void choose_faulty(load_world_t *world)
 {
 	for (guint i = 0; i < world->servers->len; i++) {
@@ -589,10 +597,10 @@
 		uint32_t shard = (uint32_t)g_ascii_strtoull(server->service + 1, NULL, 10);
 		bool spared = server->data_centre == shard % DATA_CENTRES;
 
-		if (world->plan->fault == LOAD_CRASH)
-			server->faulty = shard < world->plan->fault_share * SHARDS;
+		if (world->scenario->fault == LOAD_CRASH)
+			server->faulty = shard < world->scenario->fault_share * SHARDS;
 		else
-			server->faulty = !spared && uniform(world) < world->plan->fault_share;
+			server->faulty = !spared && uniform(world) < world->scenario->fault_share;
 	}
 }
 
@@ -684,26 +692,28 @@
 		register_server(vm->registry, g_ptr_array_index(world->servers, i));
 	registry_list_end(vm->registry, BEGIN_US);
 	share_connections(vm->registry, connections, vms + 1);
-	if (world->plan && world->plan->fault == LOAD_CRASH)
+	if (world->scenario && world->scenario->fault == LOAD_CRASH)
 		bound_cold(vm->registry);
 	vm->forwarder = forwarder_new(&ops, vm, vm->registry, index + 1);
-	forwarder_set_routing(vm->forwarder, routing_for(world->plan ? SHARDS : 1, world->plan));
+	forwarder_set_routing(vm->forwarder,
+			      routing_for(world->scenario ? SHARDS : 1, world->scenario));
 }
 
-static load_world_t *world_new(const load_plan_t *plan, uint32_t seed, load_result_t *result)
+static load_world_t *world_new(const load_scenario_t *scenario, uint32_t seed,
+			       load_result_t *result)
 {
 	load_world_t *world = g_new0(load_world_t, 1);
 
 	*result = (load_result_t){0};
 	for (uint32_t i = 0; i < LOAD_ROUTES; i++)
 		result->routes[i].name = route_plans[i].name;
-	world->plan = plan;
+	world->scenario = scenario;
 	world->result = result;
 	world->now_us = BEGIN_US;
 	world->rand = g_rand_new_with_seed(seed);
 	world->servers = g_ptr_array_new_with_free_func(g_free);
 	world->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-	world->firsts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	world->first_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	world->request_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (uint32_t i = 0; i < SHARDS; i++)
 		world->extra_us[i] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -721,7 +731,7 @@
 	return next;
 }
 
-/* Until everything that callers have asked for is over. */
+/* Runs until all requests of the callers have finished. */
 static void run(load_world_t *world)
 {
 	uint64_t next;
@@ -746,7 +756,7 @@
 	}
 	timers_clear(&world->timers);
 	g_hash_table_unref(world->by_id);
-	g_hash_table_unref(world->firsts);
+	g_hash_table_unref(world->first_keys);
 	g_ptr_array_unref(world->servers);
 	g_array_unref(world->request_us);
 	for (uint32_t i = 0; i < SHARDS; i++)
@@ -761,31 +771,31 @@
 
 	for (uint32_t i = 0; i < LOAD_ROUTES; i++)
 		work_us += route_plans[i].share * route_plans[i].work_us;
-	/* One in a hundred takes five times as long; pauses take their share. */
+	/* One sub-request in a hundred takes five times as long; pauses reduce the capacity. */
 	work_us *= 1.04;
-	return SLOTS * 1e6 / work_us * (1 - (double)PAUSE_US / PAUSE_EACH_US);
+	return SLOTS * 1e6 / work_us * (1 - (double)PAUSE_US / PAUSE_PERIOD_US);
 }
 
-void load_play(const load_plan_t *plan, uint32_t seed, load_result_t *result)
+void load_run(const load_scenario_t *scenario, uint32_t seed, load_result_t *result)
 {
-	load_world_t *world = world_new(plan, seed, result);
+	load_world_t *world = world_new(scenario, seed, result);
 
 	for (uint32_t shard = 0; shard < SHARDS; shard++)
 		for (uint32_t i = 0; i < DATA_CENTRES; i++)
-			if (shard >= plan->short_shards || i == shard % DATA_CENTRES)
+			if (shard >= scenario->short_shards || i == shard % DATA_CENTRES)
 				add_server(world, shard, i);
 	choose_faulty(world);
 	for (uint32_t i = 0; i < VMS; i++)
 		start_vm(world, i, VMS, CONNECTIONS);
-	if (plan->fault == LOAD_CRASH)
-		after(world, &world->crash, FAULT_FROM_US, end_faulty, world);
-	world->per_s = plan->offered * capacity_per_s();
+	if (scenario->fault == LOAD_CRASH)
+		schedule(world, &world->crash, FAULT_FROM_US, crash_faulty_servers, world);
+	world->per_s = scenario->offered * capacity_per_s();
 	world->end_us = BEGIN_US + END_US;
 	run(world);
 	world_free(world);
 }
 
-double load_play_single(double load, uint32_t seed, uint32_t seconds)
+double load_run_single(double load, uint32_t seed, uint32_t seconds)
 {
 	load_result_t result;
 	load_world_t *world = world_new(NULL, seed, &result);
@@ -795,7 +805,7 @@
 	add_server(world, 0, 0);
 	server = g_ptr_array_index(world->servers, 0);
 	server->slots = 1;
-	server->queue_most = UINT32_MAX;
+	server->max_queue = UINT32_MAX;
 	server->pause_at_us = 0;
 	start_vm(world, 0, 1, 1000000);
 	world->per_s = load * 100;
