--- a/tests/poison_test.c
+++ b/tests/poison_test.c
@@ -436,7 +436,8 @@
 }
 
 /* One request crashes searchers, and all concurrent requests become suspect. If each were claimed
- * at once, the store would reject other writes; with too few claims their callers would be deferred. */
+ * at once, the store would reject other writes; with too few claims their callers would be
+ * deferred. */
 static void test_many_suspects(void **state)
 {
 	static const struct {
