--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -73,7 +73,7 @@
 	return false;
 }
 
-static uint64_t caller_retry_us(const forward_t *forward, lack_t lack, uint64_t now_us)
+static uint64_t caller_retry_us(const forward_t *forward, missing_resource_t lack, uint64_t now_us)
 {
 	return retry_after_us(lack, forward_time_left_us(forward, now_us),
 			      registry_is_store_away(forward->forwarder->registry));
@@ -84,16 +84,16 @@
 	forward_answer_t answer = {.outcome = outcome};
 
 	if (outcome == FORWARD_NO_SEARCHER)
-		answer.retry_after_us = caller_retry_us(forward, LACK_SEARCHERS, now_us);
+		answer.retry_after_us = caller_retry_us(forward, MISSING_SEARCHERS, now_us);
 	else if (outcome == FORWARD_BLOCKED)
 		answer.retry_after_us = poison_note_refused(forward->forwarder->poison,
 							    forward->request.fingerprint, now_us);
 	else if (outcome == FORWARD_DEFERRED)
-		answer.retry_after_us = poison_retry_us(forward->forwarder->poison,
-							forward->request.fingerprint, now_us);
+		answer.retry_after_us = poison_retry_delay_us(forward->forwarder->poison,
+							      forward->request.fingerprint, now_us);
 	else if (outcome == FORWARD_TOO_LATE || outcome == FORWARD_FULL ||
 		 outcome == FORWARD_REJECTED)
-		answer.retry_after_us = caller_retry_us(forward, LACK_ROOM, now_us);
+		answer.retry_after_us = caller_retry_us(forward, MISSING_CAPACITY, now_us);
 	forward_finish(forward, &answer, now_us);
 }
 
--- a/src/core/forward_private.h
+++ b/src/core/forward_private.h
@@ -80,7 +80,7 @@
 /** Whether a sub-request sent for @p part now belongs to a claimed trial. */
 bool forward_is_on_trial(const part_t *part);
 /** The sub-request that was sent alone is over with the result @p end. */
-void forward_probe_ended(forward_t *forward, const trial_end_t *end, uint64_t now_us);
+void forward_probe_ended(forward_t *forward, const trial_result_t *end, uint64_t now_us);
 /** Give up all parts that are held back. */
 void forward_lose_held_parts(forward_t *forward);
 /** Send one part that is held back, or all of them, or give them up. */
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -182,7 +182,7 @@
 	poison_t *poison = forwarder->poison;
 	const poison_sending_t sending = {.sent_us = sub->sending.sent_us,
 					  .on_trial = sub->on_trial,
-					  .kept = !sub->opens_connection,
+					  .reused = !sub->opens_connection,
 					  .answered = sub->forward && sub->forward->answered};
 
 	switch (reply->outcome) {
@@ -221,7 +221,7 @@
 
 bool forwarder_is_blocked(const forwarder_t *forwarder, fingerprint_t fingerprint, uint64_t now_us)
 {
-	return poison_judge(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
+	return poison_check(forwarder->poison, fingerprint, now_us) == POISON_BLOCKED;
 }
 
 /* A reply from another searcher at the same address carries that one's load. */
@@ -373,7 +373,7 @@
 	part->state = PART_WAITING;
 	if (!forward->request.is_resend)
 		retry_budget_note_request(&part->pool->budget, now_us);
-	else if (!retry_budget_take(&part->pool->budget, &part->pool->bound, RETRY_FOR_ANSWER,
+	else if (!retry_budget_take(&part->pool->budget, &part->pool->bound, RETRY_FOR_FAILURE,
 				    now_us))
 		part_lose(part);
 }
@@ -442,9 +442,9 @@
 	bool away = registry_is_store_away(forwarder->registry);
 
 	if (outcome == FORWARD_NOT_READY)
-		answer.retry_after_us = retry_after_us(LACK_NEWS, request->patience_us, away);
+		answer.retry_after_us = retry_after_us(MISSING_STATE, request->patience_us, away);
 	if (outcome == FORWARD_SHUTTING_DOWN)
-		answer.retry_after_us = retry_after_us(LACK_VM, request->patience_us, away);
+		answer.retry_after_us = retry_after_us(MISSING_VM, request->patience_us, away);
 	forwarder->counters.outcomes[outcome]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -314,7 +314,7 @@
 	due_us = hedge_at_us(part, searcher, late_us, now_us);
 	if (now_us < due_us)
 		part->hedge_us = due_us;
-	else if (retry_budget_take(&part->pool->budget, bound, RETRY_FOR_SPEED, now_us))
+	else if (retry_budget_take(&part->pool->budget, bound, RETRY_FOR_HEDGE, now_us))
 		part_send(part, searcher, SUB_HEDGE, now_us);
 	else
 		part->hedge_us = now_us < late_us ? late_us : now_us + HEDGE_RECHECK_US;
@@ -335,7 +335,7 @@
 		return part->refusals <= MAX_REFUSALS;
 	if (has_not_run(outcome) ? part->refusals > MAX_REFUSALS : !may_run_again(part))
 		return false;
-	return retry_budget_take(&part->pool->budget, bound, RETRY_FOR_ANSWER, now_us);
+	return retry_budget_take(&part->pool->budget, bound, RETRY_FOR_FAILURE, now_us);
 }
 
 /*
@@ -396,13 +396,13 @@
 	part->unknown = part->unknown || outcome == SUB_UNKNOWN;
 	part->last_outcome = outcome;
 	if (forward->probe == part)
-		forward_probe_ended(forward,
-				    &(trial_end_t){.ran = !has_not_run(outcome),
-						   .outcome = reply->broken
-								      ? "broken"
-								      : sub_outcome_name(outcome),
-						   .searcher = sub->searcher->id},
-				    now_us);
+		forward_probe_ended(
+			forward,
+			&(trial_result_t){.ran = !has_not_run(outcome),
+					  .outcome = reply->broken ? "broken"
+								   : sub_outcome_name(outcome),
+					  .searcher = sub->searcher->id},
+			now_us);
 	part_store_reply(part, reply);
 	if (part->in_flight->len) /* another one is in flight: its outcome decides */
 		return;
@@ -437,9 +437,9 @@
 		hedge_others(part, now_us);
 	if (part->forward->probe == part)
 		forward_probe_ended(part->forward,
-				    &(trial_end_t){.ran = true,
-						   .outcome = "answered",
-						   .searcher = sub->searcher->id},
+				    &(trial_result_t){.ran = true,
+						      .outcome = "answered",
+						      .searcher = sub->searcher->id},
 				    now_us);
 	for (guint i = 0; i < part->in_flight->len; i++)
 		((subrequest_t *)g_ptr_array_index(part->in_flight, i))->superseded = true;
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -240,7 +240,7 @@
 
 /* ---- requests under which searchers end ---- */
 
-static void on_poison_tell(void *ctx, const poison_news_t *news)
+static void on_poison_tell(void *ctx, const poison_update_t *news)
 {
 	poison_task_tell(((front_task_t *)ctx)->poison, news);
 }
@@ -250,12 +250,12 @@
 	poison_task_forget(((front_task_t *)ctx)->poison, fingerprint);
 }
 
-static void on_poison_changed(void *ctx, const poison_news_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
 {
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)ctx;
-	fingerprint_write(news->fingerprint, text);
+	fingerprint_format(news->fingerprint, text);
 	g_log(news->strikes > 1 ? LOG_DECISIONS : NULL, G_LOG_LEVEL_MESSAGE,
 	      "event=poison fingerprint=%s outcome=%s strikes=%u service=%s", text, what,
 	      news->strikes, news->service);
@@ -276,7 +276,7 @@
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)ctx;
-	fingerprint_write(trial->fingerprint, text);
+	fingerprint_format(trial->fingerprint, text);
 	log_decision("event=poison-trial fingerprint=%s outcome=%s searcher=%s why=%s number=%u "
 		     "strikes=%u took_us=%" G_GUINT64_FORMAT,
 		     text, trial->outcome, trial->searcher, trial->why, trial->number,
@@ -344,7 +344,7 @@
 {
 	const forward_answer_t answer = {
 		.outcome = FORWARD_NOT_READY,
-		.retry_after_us = retry_after_us(LACK_NEWS, relay->request.patience_us,
+		.retry_after_us = retry_after_us(MISSING_STATE, relay->request.patience_us,
 						 registry_is_store_away(task->registry))};
 
 	g_message("event=answer request=%s outcome=not-ready reason=configuration-behind",
@@ -663,8 +663,8 @@
 
 front_task_t *front_task_new(loop_t *loop, const settings_t *settings, platform_task_t *platform)
 {
-	static const poison_ops_t poison_ops = {.tell = on_poison_tell,
-						.forget = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
+						.remove = on_poison_forget,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims,
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -80,7 +80,7 @@
 			retry_budget_note_request(&budget, now_us);
 			requests[tenth]++;
 		}
-		while (retry_budget_take(&budget, &bound, RETRY_FOR_ANSWER, now_us))
+		while (retry_budget_take(&budget, &bound, RETRY_FOR_FAILURE, now_us))
 			extras[tenth]++;
 	}
 	for (int start = 0; start + 100 <= 600; start++) {
@@ -110,11 +110,11 @@
 
 	(void)state;
 	retry_budget_init(&budget, &bound);
-	while (retry_budget_take(&budget, &bound, RETRY_FOR_SPEED, 100 * SECOND_US))
+	while (retry_budget_take(&budget, &bound, RETRY_FOR_HEDGE, 100 * SECOND_US))
 		;
-	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_ANSWER, 100 * SECOND_US));
-	assert_false(retry_budget_take(&budget, &bound, RETRY_FOR_SPEED, 101 * SECOND_US));
-	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_SPEED, 111 * SECOND_US));
+	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_FAILURE, 100 * SECOND_US));
+	assert_false(retry_budget_take(&budget, &bound, RETRY_FOR_HEDGE, 101 * SECOND_US));
+	assert_true(retry_budget_take(&budget, &bound, RETRY_FOR_HEDGE, 111 * SECOND_US));
 }
 
 /* ---- searchers ---- */
@@ -645,15 +645,15 @@
 	const uint64_t patient_us = 4 * SECOND_US, hasty_us = SECOND_US / 2;
 
 	(void)state;
-	assert_int_equal(retry_after_us(LACK_ROOM, patient_us, false), 60000);
-	assert_int_equal(retry_after_us(LACK_ROOM, hasty_us, true), 60000);
-	assert_int_equal(retry_after_us(LACK_VM, patient_us, true), 10000);
-	assert_int_equal(retry_after_us(LACK_NEWS, patient_us, false), 300000);
-	assert_int_equal(retry_after_us(LACK_NEWS, patient_us, true), 1280000);
-	assert_int_equal(retry_after_us(LACK_NEWS, hasty_us, false), 160000);
-	assert_int_equal(retry_after_us(LACK_NEWS, 0, true), 300000);
-	assert_int_equal(retry_after_us(LACK_SEARCHERS, patient_us, false), 600000);
-	assert_int_equal(retry_after_us(LACK_SEARCHERS, patient_us, true), 1280000);
+	assert_int_equal(retry_after_us(MISSING_CAPACITY, patient_us, false), 60000);
+	assert_int_equal(retry_after_us(MISSING_CAPACITY, hasty_us, true), 60000);
+	assert_int_equal(retry_after_us(MISSING_VM, patient_us, true), 10000);
+	assert_int_equal(retry_after_us(MISSING_STATE, patient_us, false), 300000);
+	assert_int_equal(retry_after_us(MISSING_STATE, patient_us, true), 1280000);
+	assert_int_equal(retry_after_us(MISSING_STATE, hasty_us, false), 160000);
+	assert_int_equal(retry_after_us(MISSING_STATE, 0, true), 300000);
+	assert_int_equal(retry_after_us(MISSING_SEARCHERS, patient_us, false), 600000);
+	assert_int_equal(retry_after_us(MISSING_SEARCHERS, patient_us, true), 1280000);
 }
 
 /* ---- fingerprints ---- */
@@ -691,13 +691,13 @@
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)state;
-	fingerprint_write(0x0123456789abcdefull, text);
+	fingerprint_format(0x0123456789abcdefull, text);
 	assert_string_equal(text, "0123456789abcdef");
-	assert_true(fingerprint_read(text) == 0x0123456789abcdefull);
-	assert_true(fingerprint_read("") == 0);
-	assert_true(fingerprint_read("0123456789abcde") == 0);
-	assert_true(fingerprint_read("0123456789abcdeg") == 0);
-	assert_true(fingerprint_read("0123456789abcdef0") == 0);
+	assert_true(fingerprint_parse(text) == 0x0123456789abcdefull);
+	assert_true(fingerprint_parse("") == 0);
+	assert_true(fingerprint_parse("0123456789abcde") == 0);
+	assert_true(fingerprint_parse("0123456789abcdeg") == 0);
+	assert_true(fingerprint_parse("0123456789abcdef0") == 0);
 }
 
 int main(void)
