--- a/src/core/forward.h
+++ b/src/core/forward.h
@@ -52,7 +52,7 @@
 
 /** One sub-request that was sent. */
 typedef struct sub_t {
-	sending_t sending;	     /* first: a searcher's queue holds pointers to it */
+	outstanding_t sending;	     /* first: a searcher's queue holds pointers to it */
 	forward_t *forward;	     /**< NULL once the request was answered without it */
 	fingerprint_t fingerprint;   /**< of its request */
 	struct route_state_t *route; /**< what is measured of its route; outlives the request */
--- a/src/core/forward_suspect.c
+++ b/src/core/forward_suspect.c
@@ -118,7 +118,7 @@
 	part_t *part = held_part(forward);
 	const candidates_t candidates = part_candidates(part);
 
-	if (forward->probe || placement_is_all_probed(&candidates))
+	if (forward->probe || placement_all_probed(&candidates))
 		return;
 	if (!forward->has_turn)
 		ask_turn(forward, now_us);
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -279,7 +279,7 @@
 		part_t *part = item->data;
 		const candidates_t candidates = part_candidates(part);
 
-		if (!placement_is_possible(&candidates))
+		if (!placement_has_candidate(&candidates))
 			return part;
 	}
 	return NULL;
@@ -346,7 +346,8 @@
 		if (pool->waiting.length) {
 			const candidates_t candidates = part_candidates(pool->waiting.head->data);
 
-			forwarder_look_at(forwarder, placement_warm_us(&candidates, now_us));
+			forwarder_look_at(forwarder,
+					  placement_next_cold_send_us(&candidates, now_us));
 		}
 	}
 }
@@ -394,7 +395,7 @@
 		part_t *part = &forward->parts[i];
 		const candidates_t candidates = part_candidates(part);
 
-		if (part->state == PART_WAITING && !placement_is_possible(&candidates))
+		if (part->state == PART_WAITING && !placement_has_candidate(&candidates))
 			part_lose(part);
 	}
 }
@@ -449,7 +450,7 @@
 		const part_t *part = &forward->parts[i];
 		const candidates_t candidates = part_candidates(part);
 
-		if (part->state == PART_WAITING && !placement_has_room(&candidates, now_us))
+		if (part->state == PART_WAITING && !placement_has_capacity(&candidates, now_us))
 			hopeless += part_waits_in_vain(part, now_us);
 	}
 	return !forward_has_enough(forward, forward->part_count - hopeless);
@@ -459,7 +460,7 @@
 {
 	const candidates_t candidates = part_candidates(part);
 
-	return placement_wait_us(&candidates, now_us);
+	return placement_queue_delay_us(&candidates, now_us);
 }
 
 /* The part without room that would wait longest, or NULL. */
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -28,14 +28,14 @@
 candidates_t part_candidates(const part_t *part)
 {
 	return (candidates_t){
-		.pool = part->pool, .route = part->forward->route, .asked = part->asked};
+		.pool = part->pool, .route = part->forward->route, .tried = part->asked};
 }
 
 static bool is_possible(const part_t *part)
 {
 	const candidates_t candidates = part_candidates(part);
 
-	return placement_is_possible(&candidates);
+	return placement_has_candidate(&candidates);
 }
 
 static bool may_run_again(const part_t *part)
@@ -78,7 +78,7 @@
 	forwarder_t *forwarder = forward->forwarder;
 	sub_t *sub = sub_new(part, searcher, purpose, now_us);
 
-	placement_note_sent(part->pool, searcher, now_us);
+	placement_record_send(part->pool, searcher, now_us);
 	if (!part->asked) {
 		part->asked = g_ptr_array_new_with_free_func((GDestroyNotify)searcher_unref);
 		part->out = g_ptr_array_new();
@@ -138,7 +138,8 @@
 	const candidates_t candidates = part_candidates(part);
 
 	part_insert(part);
-	forwarder_look_at(part->forward->forwarder, placement_warm_us(&candidates, now_us));
+	forwarder_look_at(part->forward->forwarder,
+			  placement_next_cold_send_us(&candidates, now_us));
 	part->state = PART_WAITING;
 	part->forward->forwarder->counters.waited++;
 }
@@ -188,9 +189,9 @@
 	double usual_us = placement_typical_us(part->pool);
 	uint64_t from_us = now_us;
 
-	if (placement_is_all_cold(&candidates, now_us))
-		from_us = placement_warm_us(&candidates, now_us);
-	return from_us + (uint64_t)(placement_wait_us(&candidates, now_us) + usual_us) >
+	if (placement_all_cold(&candidates, now_us))
+		from_us = placement_next_cold_send_us(&candidates, now_us);
+	return from_us + (uint64_t)(placement_queue_delay_us(&candidates, now_us) + usual_us) >
 	       part->forward->deadline_us;
 }
 
@@ -212,7 +213,7 @@
 	GRand *rand = part->forward->forwarder->rand;
 
 	if (part->forward->probe == part)
-		return placement_choose_alone(&candidates, rand, now_us);
+		return placement_choose_isolated(&candidates, rand, now_us);
 	return placement_choose(&candidates, rand, now_us);
 }
 
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,6 +1,6 @@
 /**
  * @file placement.h
- * Which searcher of a pool gets a sub-request.
+ * Chooses the searcher of a pool that a sub-request is sent to.
  */
 #ifndef DS_PLACEMENT_H
 #define DS_PLACEMENT_H
@@ -8,58 +8,59 @@
 #include "core/registry.h"
 #include "core/routing.h"
 
-/** A sub-request that was sent; embedded in its owner, linked in its searcher's queue. */
-typedef struct sending_t {
+/** A sub-request that was sent; embedded in its owner and linked into its searcher's list of
+ * outstanding sub-requests. */
+typedef struct outstanding_t {
 	uint64_t sent_us;
-	GList link; /**< in searcher_t.out; data is the sending_t */
-} sending_t;
+	GList link; /**< in searcher_t.outstanding; data is the outstanding_t */
+} outstanding_t;
 
-/** Whom a sub-request may be sent to, of the searchers of one service. */
+/** The searchers of one service that a sub-request may be sent to. */
 typedef struct candidates_t {
 	const pool_t *pool;
-	const route_t *route;	/**< its regions bind; NULL: none do */
-	const GPtrArray *asked; /**< searcher_t that are not asked again; NULL: none */
+	const route_t *route;	/**< restricts the regions; NULL: no restriction */
+	const GPtrArray *tried; /**< searcher_t already tried, which are excluded; NULL: none */
 } candidates_t;
 
-/** What a sub-request to the pool usually takes. */
+/** Typical latency of a sub-request to the pool. */
 double placement_typical_us(const pool_t *pool);
-/** How long one more part would wait for room, behind those that wait already. */
-double placement_wait_us(const candidates_t *candidates, uint64_t now_us);
-/** Expected time until an answer, for comparing searchers. */
+/** Expected time that one more part waits in the pool's queue for capacity. */
+double placement_queue_delay_us(const candidates_t *candidates, uint64_t now_us);
+/** Expected time until an answer, with penalties; used to compare searchers. */
 double placement_cost_us(const searcher_t *searcher, const pool_t *pool, uint64_t now_us);
-/** What a sub-request to it should take, by what was measured of late. */
+/** Expected latency of a sub-request to the searcher, from recent measurements. */
 double placement_expected_us(const searcher_t *searcher, const pool_t *pool, uint64_t now_us);
-/** After how long without an answer it is taken to pause, or to hang. */
+/** Time without an answer after which the searcher counts as stuck, that is, pausing or hung. */
 uint64_t placement_stuck_us(const searcher_t *searcher, const pool_t *pool, uint64_t now_us);
-/** Whether its oldest sub-request is out for so long. */
+/** Whether the searcher's oldest sub-request has been outstanding for placement_stuck_us(). */
 bool placement_is_stuck(const searcher_t *searcher, const pool_t *pool, uint64_t now_us);
-/** After how long without an answer it is taken to hang: well beyond a pause. */
+/** Time without an answer after which the searcher counts as hung: well beyond a pause. */
 uint64_t placement_hang_us(const searcher_t *searcher, const pool_t *pool, uint64_t now_us);
-/** The candidate with the least cost that has room, or NULL. */
+/** The candidate with capacity that has the lowest cost, or NULL. */
 searcher_t *placement_choose(const candidates_t *candidates, GRand *rand, uint64_t now_us);
-/** The same for a suspect request: one that no other suspect is out to, and that has nothing else
- * of this VM, if there is one. See poison.h. */
-searcher_t *placement_choose_alone(const candidates_t *candidates, GRand *rand, uint64_t now_us);
-/** Whether suspect requests are out to all candidates. */
-bool placement_is_all_probed(const candidates_t *candidates);
-/** Whether any candidate may be sent work now. */
-bool placement_has_room(const candidates_t *candidates, uint64_t now_us);
-/** When the next candidate that is cold may be sent a sub-request; UINT64_MAX: none is held back
+/** The same for a suspect request: never a searcher that already has another suspect request, and
+ * preferably one that has no other sub-request of this VM outstanding. See poison.h. */
+searcher_t *placement_choose_isolated(const candidates_t *candidates, GRand *rand, uint64_t now_us);
+/** Whether every candidate has a suspect request outstanding. */
+bool placement_all_probed(const candidates_t *candidates);
+/** Whether any candidate has capacity and may be sent a sub-request now. */
+bool placement_has_capacity(const candidates_t *candidates, uint64_t now_us);
+/** When the next cold candidate may be sent a sub-request; UINT64_MAX: no candidate is throttled
  * for being cold. */
-uint64_t placement_warm_us(const candidates_t *candidates, uint64_t now_us);
-/** Whether all candidates are held back for being cold. */
-bool placement_is_all_cold(const candidates_t *candidates, uint64_t now_us);
-/** Ready searchers of a service that a part was not sent to, by why. */
+uint64_t placement_next_cold_send_us(const candidates_t *candidates, uint64_t now_us);
+/** Whether there are candidates and all of them are throttled for being cold. */
+bool placement_all_cold(const candidates_t *candidates, uint64_t now_us);
+/** Number of ready searchers of a service that a part was not sent to, by reason. */
 typedef struct passed_over_t {
-	uint32_t elsewhere; /**< in regions that its route must not leave its own for */
+	uint32_t elsewhere; /**< in regions that the route does not allow */
 	uint32_t evacuated;
-	uint32_t cold; /**< they have had what this VM may send them */
+	uint32_t cold; /**< cold, and this VM has used up its share of their rate limit */
 } passed_over_t;
 
 passed_over_t placement_passed_over(const candidates_t *candidates, uint64_t now_us);
-/** A sub-request is sent to @p searcher. */
-void placement_note_sent(const pool_t *pool, searcher_t *searcher, uint64_t now_us);
-/** Whether there is any candidate, with room or without. */
-bool placement_is_possible(const candidates_t *candidates);
+/** Records that a sub-request is sent to @p searcher. */
+void placement_record_send(const pool_t *pool, searcher_t *searcher, uint64_t now_us);
+/** Whether there is any candidate, with or without capacity. */
+bool placement_has_candidate(const candidates_t *candidates);
 
 #endif
--- a/src/core/searcher.c
+++ b/src/core/searcher.c
@@ -47,7 +47,7 @@
 	searcher->cold_us = entry->cold_us;
 	searcher->changes = entry->changes;
 	searcher->connections_most = 1;
-	g_queue_init(&searcher->out);
+	g_queue_init(&searcher->outstanding);
 	return searcher;
 }
 
@@ -74,7 +74,7 @@
 	return searcher->state == SEARCHER_READY && !searcher->evacuated;
 }
 
-bool searcher_has_room(const searcher_t *searcher)
+bool searcher_has_capacity(const searcher_t *searcher)
 {
 	return searcher->idle > 0 || searcher->connections < searcher->connections_most;
 }
--- a/src/core/searcher.h
+++ b/src/core/searcher.h
@@ -63,7 +63,7 @@
 
 	double latency_us;	 /**< of late, sent to answered */
 	uint64_t sampled_us;	 /**< when latency_us was last fed; 0: never */
-	GQueue out;		 /**< attempts sent and not ended, oldest first */
+	GQueue outstanding;	 /**< attempts sent and not ended, oldest first */
 	uint32_t failures;	 /**< in a row, without an answer in between */
 	yield_t yield;		 /**< what it refuses, fails or loses */
 	told_load_t load;	 /**< as it last told it */
@@ -91,7 +91,7 @@
 /** Whether it may be sent new work at all. */
 bool searcher_is_usable(const searcher_t *searcher);
 /** Whether a connection to it is free or may be opened. */
-bool searcher_has_room(const searcher_t *searcher);
+bool searcher_has_capacity(const searcher_t *searcher);
 /** An answer came @p latency_us after the sending. */
 void searcher_note_answer(searcher_t *searcher, uint64_t latency_us, uint64_t now_us);
 /** The same, but the answer came to another VM of this region. */
--- a/src/core/shedding.c
+++ b/src/core/shedding.c
@@ -31,7 +31,8 @@
 	const candidates_t candidates = part_candidates(part);
 	const pool_t *pool = part->pool;
 	double times = MIN(1 + SHARE_TIMES * pool->shed_share, TIMES_MOST);
-	double takes_us = placement_wait_us(&candidates, now_us) + placement_typical_us(pool);
+	double takes_us =
+		placement_queue_delay_us(&candidates, now_us) + placement_typical_us(pool);
 
 	return now_us + (uint64_t)(times * takes_us) > part->forward->partial_us;
 }
--- a/src/core/sub.c
+++ b/src/core/sub.c
@@ -103,7 +103,8 @@
 /* From here on its end may be the new one's doing. */
 static void end_loneliness(searcher_t *searcher)
 {
-	for (const GList *item = searcher->out.head; item && searcher->probes; item = item->next) {
+	for (const GList *item = searcher->outstanding.head; item && searcher->probes;
+	     item = item->next) {
 		sub_t *other = item->data;
 
 		searcher->probes -= other->alone;
@@ -122,7 +123,7 @@
 	sub->part = (uint32_t)(part - part->forward->parts);
 	sub->purpose = purpose;
 	end_loneliness(searcher);
-	sub->alone = part->forward->probe == part && !searcher->out.length;
+	sub->alone = part->forward->probe == part && !searcher->outstanding.length;
 	searcher->probes += sub->alone;
 	sub->on_trial = forward_is_on_trial(part);
 	sub->searcher = searcher_ref(searcher);
@@ -133,7 +134,7 @@
 	sub->watch = (timer_entry_t){.fire = note_stuck, .ctx = sub};
 	timers_set(&sub->forwarder->watches, &sub->watch,
 		   now_us + placement_stuck_us(searcher, part->pool, now_us));
-	g_queue_push_tail_link(&searcher->out, &sub->sending.link);
+	g_queue_push_tail_link(&searcher->outstanding, &sub->sending.link);
 	return sub;
 }
 
@@ -141,7 +142,7 @@
 {
 	timers_cancel(&sub->forwarder->timers, &sub->leave);
 	timers_cancel(&sub->forwarder->watches, &sub->watch);
-	g_queue_unlink(&sub->searcher->out, &sub->sending.link);
+	g_queue_unlink(&sub->searcher->outstanding, &sub->sending.link);
 	sub->searcher->probes -= sub->alone;
 	searcher_unref(sub->searcher);
 	g_free(sub);
--- a/src/queries/front_log.c
+++ b/src/queries/front_log.c
@@ -129,7 +129,8 @@
 			       sub->forward ? sub->forward->request.id : "-", sub->pool->service,
 			       sub->searcher->id, sub_purpose_name(sub->purpose),
 			       sub_end_name(reply->end), reply->status,
-			       loop_now_us() - sub->sending.sent_us, sub->searcher->out.length);
+			       loop_now_us() - sub->sending.sent_us,
+			       sub->searcher->outstanding.length);
 	append_load(line, &sub->searcher->load);
 	append_fingerprint(line, sub->fingerprint);
 	g_log(NULL, failed ? G_LOG_LEVEL_MESSAGE : G_LOG_LEVEL_INFO, "%s", line->str);
