--- a/src/core/connection_share.c
+++ b/src/core/connection_share.c
@@ -120,11 +120,11 @@
 		bool held = searcher->distance != DISTANCE_FAR || searcher == backup;
 
 		if (!spread)
-			searcher->connections_most = MAX(each, 1);
+			searcher->connections_max = MAX(each, 1);
 		else if (!held)
-			searcher->connections_most = 1;
+			searcher->connections_max = 1;
 		else
-			searcher->connections_most =
+			searcher->connections_max =
 				MAX((uint32_t)(used / MAX(holders_of(pool, searcher, vms), 1)), 1);
 	}
 }
--- a/src/core/connection_share.h
+++ b/src/core/connection_share.h
@@ -27,7 +27,7 @@
 void vm_counts_take(vm_counts_t *counts, const GPtrArray *vms);
 void vm_counts_clear(vm_counts_t *counts);
 
-/** Set connections_most of all searchers of @p pool, each of which takes @p connections. */
+/** Set connections_max of all searchers of @p pool, each of which takes @p connections. */
 void connection_share_set(pool_t *pool, uint32_t connections, const vm_counts_t *vms);
 
 #endif
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -163,7 +163,7 @@
 	route_state_note_time(sub->route, took_us, expected_us);
 	if (is_news)
 		forwarder_sight(forwarder, sub, SIGHTING_ANSWERED, now_us);
-	searcher_note_answer(sub->searcher, took_us, now_us);
+	searcher_record_answer(sub->searcher, took_us, now_us);
 	quantile_add(&sub->pool->typical, took_us);
 	latency_buckets_add(&sub->pool->latency, took_us);
 }
@@ -241,13 +241,13 @@
 		measure_answer(forwarder, sub, took_us, now_us);
 		break;
 	case SUB_NOT_RUN:
-		searcher_note_refusal(sub->searcher, now_us);
+		searcher_record_refusal(sub->searcher, now_us);
 		break;
 	case SUB_REPLACED:
 		registry_note_replaced(forwarder->registry, sub->searcher);
 		break;
 	default:
-		searcher_note_failure(sub->searcher, now_us);
+		searcher_record_failure(sub->searcher, now_us);
 	}
 }
 
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -143,7 +143,7 @@
 
 		if (is_eligible(searcher, candidates->route) &&
 		    !is_cold_limited(searcher, candidates->pool, now_us))
-			most += searcher->connections_most;
+			most += searcher->connections_max;
 	}
 	return most;
 }
@@ -189,7 +189,7 @@
 	for (const GList *item = searcher->outstanding.head; item; item = item->next) {
 		const outstanding_t *sending = item->data;
 
-		if (sending->sent_us >= searcher->served_us)
+		if (sending->sent_us >= searcher->last_served_sent_us)
 			return now_us - sending->sent_us;
 	}
 	return 0;
--- a/src/core/searcher.c
+++ b/src/core/searcher.c
@@ -6,18 +6,19 @@
 
 #include <math.h>
 
-/* What an answer says of a searcher weighs as much as the time that it stands for: where answers
- * are seconds apart, a searcher that turned slow is avoided after two; where they are many, one
- * that met a pause hardly counts, and a slow spell is still known within a second. */
-#define LATENCY_MEMORY_US 2500000.0
-#define LATENCY_WEIGHT_LEAST 0.05
-/* A searcher that failed is left alone for so long, doubled with each failure in a row. */
+/* The weight of a sample grows with the time since the previous one. Where answers are seconds
+ * apart, a searcher that turned slow is avoided after two answers. Where answers are frequent, a
+ * single one delayed by a pause hardly counts, and a lasting slowdown is still detected within a
+ * second. */
+#define LATENCY_TIME_CONSTANT_US 2500000.0
+#define LATENCY_WEIGHT_MIN 0.05
+/* Backoff after a failure, doubled with each consecutive failure. */
 #define AVOID_FIRST_US 100000
-#define AVOID_MOST_US 2000000
-/* One that hangs is left alone for longer: a request that finds it still so waits in vain, while
- * one that is back is found within a second or two. */
+#define AVOID_MAX_US 2000000
+/* A hung searcher gets a longer backoff: a request that finds it still hung waits in vain, while
+ * recovery is detected within a second or two. */
 #define AVOID_HUNG_FIRST_US 1000000
-#define AVOID_HUNG_MOST_US 4000000
+#define AVOID_HUNG_MAX_US 4000000
 
 void searcher_entry_clear(searcher_entry_t *entry)
 {
@@ -46,7 +47,7 @@
 	searcher->cold_until_us = now_us + entry->cold_us;
 	searcher->cold_us = entry->cold_us;
 	searcher->changes = entry->changes;
-	searcher->connections_most = 1;
+	searcher->connections_max = 1;
 	g_queue_init(&searcher->outstanding);
 	return searcher;
 }
@@ -76,25 +77,25 @@
 
 bool searcher_has_capacity(const searcher_t *searcher)
 {
-	return searcher->idle > 0 || searcher->connections < searcher->connections_most;
+	return searcher->idle > 0 || searcher->connections < searcher->connections_max;
 }
 
-void searcher_note_answer(searcher_t *searcher, uint64_t latency_us, uint64_t now_us)
+void searcher_record_answer(searcher_t *searcher, uint64_t latency_us, uint64_t now_us)
 {
 	searcher->answered_us = now_us;
-	searcher->served_us = MAX(searcher->served_us, now_us - latency_us);
+	searcher->last_served_sent_us = MAX(searcher->last_served_sent_us, now_us - latency_us);
 	searcher->stuck_until_us = 0;
 	yield_note(&searcher->yield, false, now_us);
-	searcher_note_heard(searcher, latency_us, now_us);
+	searcher_record_latency(searcher, latency_us, now_us);
 }
 
-void searcher_note_heard(searcher_t *searcher, uint64_t latency_us, uint64_t now_us)
+void searcher_record_latency(searcher_t *searcher, uint64_t latency_us, uint64_t now_us)
 {
 	double age_us = (double)(now_us - searcher->sampled_us);
-	double weight = MAX(1 - exp(-age_us / LATENCY_MEMORY_US), LATENCY_WEIGHT_LEAST);
+	double weight = MAX(1 - exp(-age_us / LATENCY_TIME_CONSTANT_US), LATENCY_WEIGHT_MIN);
 	double sample_us = (double)MAX(latency_us, 1);
 
-	/* Averaged as ratios: twice as slow and twice as fast cancel each other. */
+	/* Averages ratios, so that a sample of twice and one of half the latency cancel out. */
 	if (searcher->sampled_us)
 		searcher->latency_us *= pow(sample_us / searcher->latency_us, weight);
 	else
@@ -104,27 +105,27 @@
 	searcher->avoid_until_us = 0;
 }
 
-void searcher_note_failure(searcher_t *searcher, uint64_t now_us)
+void searcher_record_failure(searcher_t *searcher, uint64_t now_us)
 {
 	uint64_t avoid_us = AVOID_FIRST_US << MIN(searcher->failures, 8);
 
 	yield_note(&searcher->yield, true, now_us);
 	searcher->failures++;
-	searcher->avoid_until_us = now_us + MIN(avoid_us, AVOID_MOST_US);
+	searcher->avoid_until_us = now_us + MIN(avoid_us, AVOID_MAX_US);
 }
 
-void searcher_note_hang(searcher_t *searcher, uint64_t now_us)
+void searcher_record_hang(searcher_t *searcher, uint64_t now_us)
 {
 	uint64_t avoid_us = AVOID_HUNG_FIRST_US << MIN(searcher->failures, 8);
 
-	/* Several that hang at once are one piece of news. */
+	/* Several sub-requests that hang at the same time count as one failure. */
 	if (now_us < searcher->avoid_until_us)
 		return;
 	searcher->failures++;
-	searcher->avoid_until_us = now_us + MIN(avoid_us, AVOID_HUNG_MOST_US);
+	searcher->avoid_until_us = now_us + MIN(avoid_us, AVOID_HUNG_MAX_US);
 }
 
-void searcher_note_refusal(searcher_t *searcher, uint64_t now_us)
+void searcher_record_refusal(searcher_t *searcher, uint64_t now_us)
 {
 	yield_note(&searcher->yield, true, now_us);
 }
--- a/src/core/searcher.h
+++ b/src/core/searcher.h
@@ -14,31 +14,32 @@
 
 typedef enum searcher_state_t {
 	SEARCHER_READY,
-	SEARCHER_DRAINING, /**< it leaves: nothing new */
-	SEARCHER_GONE,	   /**< no longer registered: nothing new */
-	SEARCHER_ENDED,	   /**< its process has ended: what is out to it stays unknown */
+	SEARCHER_DRAINING, /**< about to stop: gets no new sub-requests */
+	SEARCHER_GONE,	   /**< no longer registered: gets no new sub-requests */
+	SEARCHER_ENDED,	   /**< its process has terminated: the outcome of outstanding sub-requests
+			    * stays unknown */
 } searcher_state_t;
 
-/** Where it is, seen from this VM. */
+/** Distance from this VM. */
 typedef enum distance_t {
 	DISTANCE_LOCAL,	 /**< this data centre */
-	DISTANCE_REGION, /**< another one of this region */
+	DISTANCE_REGION, /**< another data centre of this region */
 	DISTANCE_FAR,
 } distance_t;
 
-/** What the registry says of a searcher; texts are owned by whoever made it. */
+/** A searcher's entry in the registry; the strings are owned by whoever made the entry. */
 typedef struct searcher_entry_t {
 	char *id;
-	uint64_t born_ms; /**< when its process started, which tells starts under one id apart;
-			   * 0: not said, the id is unique to one start */
+	uint64_t born_ms; /**< when its process started, which distinguishes incarnations under one
+			   * id; 0: not given, the id is unique to one incarnation */
 	char *service;
 	char *address; /**< an IP number */
 	uint16_t port;
 	char *data_centre;
-	uint32_t slots; /**< requests it works on at once */
+	uint32_t slots; /**< requests it processes concurrently */
 	bool draining;
-	uint64_t cold_us; /**< how much longer it is cold */
-	uint64_t changes; /**< grows with each change of the entry */
+	uint64_t cold_us; /**< remaining time until it is warm */
+	uint64_t changes; /**< increases with each change of the entry */
 } searcher_entry_t;
 
 typedef struct searcher_t {
@@ -49,59 +50,67 @@
 	char *address;
 	uint16_t port;
 	char *data_centre;
-	char *region; /**< of the data centre; NULL: not known */
+	char *region; /**< region of the data centre; NULL: not known */
 	uint32_t slots;
 	searcher_state_t state;
-	bool evacuated; /**< its data centre is: nothing new until that is taken back */
+	bool evacuated; /**< its data centre is evacuated: no new sub-requests until the evacuation
+			 * ends */
 	distance_t distance;
 	uint64_t cold_until_us;
-	uint64_t cold_us;      /**< how much longer it was cold, by the last word of it */
-	uint64_t changes;      /**< of its entry, as in searcher_entry_t */
-	uint32_t cold_share;   /**< sub-requests that this VM may send it in a window while cold */
-	uint32_t cold_fleet;   /**< of which state of the fleet that is worked out */
-	uint64_t cold_next_us; /**< when the next one may follow */
+	uint64_t cold_us;    /**< remaining cold time in its latest entry */
+	uint64_t changes;    /**< change counter of its latest entry, as in searcher_entry_t */
+	uint32_t cold_share; /**< sub-requests that this VM may send it per window while it is
+			      * cold */
+	uint32_t cold_fleet_version; /**< version of the fleet that cold_share was computed for */
+	uint64_t cold_next_us; /**< when this VM may send it the next sub-request while it is cold
+				*/
 
-	double latency_us;	 /**< of late, sent to answered */
-	uint64_t sampled_us;	 /**< when latency_us was last fed; 0: never */
-	GQueue outstanding;	 /**< attempts sent and not ended, oldest first */
-	uint32_t failures;	 /**< in a row, without an answer in between */
-	yield_t yield;		 /**< what it refuses, fails or loses */
-	told_load_t load;	 /**< as it last told it */
-	uint64_t avoid_until_us; /**< after failures: only if there is nobody else */
-	uint64_t answered_us;	 /**< when it last answered this VM; 0: never */
-	uint64_t served_us;	 /**< the latest sending that it has answered; 0: none */
-	uint64_t stuck_until_us; /**< another VM found it in a pause that lasts until then */
+	double latency_us;	      /**< recent average, from sending to answer */
+	uint64_t sampled_us;	      /**< when latency_us was last updated; 0: never */
+	GQueue outstanding;	      /**< attempts sent and not ended, oldest first */
+	uint32_t failures;	      /**< consecutive failures without an answer in between */
+	yield_t yield;		      /**< rate at which it refuses, fails or loses requests */
+	told_load_t load;	      /**< load that it last reported */
+	uint64_t avoid_until_us;      /**< backoff after failures: chosen only if there is no other
+				       * candidate */
+	uint64_t answered_us;	      /**< when this VM last received an answer from it; 0: never */
+	uint64_t last_served_sent_us; /**< latest send time of all sub-requests that it has
+				       * answered; 0: none */
+	uint64_t stuck_until_us; /**< another VM reported it as stuck; its pause is expected to last
+				  * until then */
 
-	uint32_t probes; /**< suspect requests that are out to it with nothing else of this VM: 0 or
-			    1 */
-	uint32_t idle;	 /**< open connections that carry nothing */
-	uint32_t connections;	   /**< all connections of this VM, opening ones too */
-	uint32_t connections_most; /**< this VM's share of what the searcher takes */
-	void *link;		   /**< the connections; set by the task that owns them */
+	uint32_t probes; /**< outstanding suspect requests that share it with no other request of
+			  * this VM: 0 or 1 */
+	uint32_t idle;	 /**< open connections without a request */
+	uint32_t connections;	  /**< all connections of this VM, including those being opened */
+	uint32_t connections_max; /**< this VM's share of the connections that the searcher accepts
+				   */
+	void *link;		  /**< the connections; set by the task that owns them */
 } searcher_t;
 
 void searcher_entry_clear(searcher_entry_t *entry);
 
-/** @param region of its data centre; NULL: not known */
+/** @param region region of its data centre; NULL: not known */
 searcher_t *searcher_new(const searcher_entry_t *entry, distance_t distance, const char *region,
 			 uint64_t now_us);
 searcher_t *searcher_ref(searcher_t *searcher);
 void searcher_unref(searcher_t *searcher);
 
-/** Whether it may be sent new work at all. */
+/** Whether it may get new sub-requests: ready and not evacuated. */
 bool searcher_is_usable(const searcher_t *searcher);
-/** Whether a connection to it is free or may be opened. */
+/** Whether a connection to it is idle or another one may be opened. */
 bool searcher_has_capacity(const searcher_t *searcher);
-/** An answer came @p latency_us after the sending. */
-void searcher_note_answer(searcher_t *searcher, uint64_t latency_us, uint64_t now_us);
-/** The same, but the answer came to another VM of this region. */
-void searcher_note_heard(searcher_t *searcher, uint64_t latency_us, uint64_t now_us);
-/** A connection failed, or an answer was no answer. */
-void searcher_note_failure(searcher_t *searcher, uint64_t now_us);
-/** A sub-request is out for so long that no pause explains it: it hangs, or nothing reaches it. */
-void searcher_note_hang(searcher_t *searcher, uint64_t now_us);
-/** It refused without running the request. */
-void searcher_note_refusal(searcher_t *searcher, uint64_t now_us);
+/** Records an answer that arrived @p latency_us after the sub-request was sent. */
+void searcher_record_answer(searcher_t *searcher, uint64_t latency_us, uint64_t now_us);
+/** Records the latency of an answer, which may have been to another VM of this region. */
+void searcher_record_latency(searcher_t *searcher, uint64_t latency_us, uint64_t now_us);
+/** Records a failed connection or an invalid answer. */
+void searcher_record_failure(searcher_t *searcher, uint64_t now_us);
+/** Records that a sub-request has been outstanding longer than any pause explains: the searcher is
+ * hung or unreachable. */
+void searcher_record_hang(searcher_t *searcher, uint64_t now_us);
+/** Records that the searcher refused a request without running it. */
+void searcher_record_refusal(searcher_t *searcher, uint64_t now_us);
 const char *searcher_state_name(searcher_state_t state);
 
 #endif
--- a/src/core/sharing.c
+++ b/src/core/sharing.c
@@ -77,9 +77,10 @@
 	for (guint i = 0; i < pool->searchers->len; i++) {
 		searcher_t *searcher = g_ptr_array_index(pool->searchers, i);
 
-		if (now_us >= searcher->cold_until_us || searcher->cold_fleet == sharing->fleet)
+		if (now_us >= searcher->cold_until_us ||
+		    searcher->cold_fleet_version == sharing->fleet)
 			continue;
-		searcher->cold_fleet = sharing->fleet;
+		searcher->cold_fleet_version = sharing->fleet;
 		searcher->cold_share =
 			sharing->trusted ? cold_share_of(members, &pool->cold, searcher->id) : 0;
 	}
--- a/src/core/sighting.c
+++ b/src/core/sighting.c
@@ -60,11 +60,11 @@
 	if (!searcher || searcher->born_ms != sighting->born_ms)
 		return;
 	if (sighting->type == SIGHTING_ANSWERED)
-		searcher_note_heard(searcher, after_us, now_us);
+		searcher_record_latency(searcher, after_us, now_us);
 	else if (answered_since(searcher, after_us, now_us))
 		return;
 	else if (sighting->type == SIGHTING_HUNG)
-		searcher_note_hang(searcher, now_us);
+		searcher_record_hang(searcher, now_us);
 	else if (after_us < PAUSE_US)
 		searcher->stuck_until_us = now_us + PAUSE_US - after_us;
 }
--- a/src/core/sub.c
+++ b/src/core/sub.c
@@ -67,7 +67,8 @@
  */
 static bool tells_of_searcher(const sub_t *sub)
 {
-	return sub->searcher->served_us <= sub->sending.sent_us && route_state_tells(sub->route);
+	return sub->searcher->last_served_sent_us <= sub->sending.sent_us &&
+	       route_state_tells(sub->route);
 }
 
 static void note_hang(void *ctx, uint64_t now_us)
@@ -80,13 +81,13 @@
 		return;
 	route_state_note(sub->route, true);
 	if (!tells) {
-		searcher_note_failure(sub->searcher, now_us);
+		searcher_record_failure(sub->searcher, now_us);
 		return;
 	}
 	sighting_filter_note(&forwarder->sightings, true, now_us);
 	if (now_us >= sub->searcher->avoid_until_us)
 		forwarder_sight(forwarder, sub, SIGHTING_HUNG, now_us);
-	searcher_note_hang(sub->searcher, now_us);
+	searcher_record_hang(sub->searcher, now_us);
 }
 
 static void note_stuck(void *ctx, uint64_t now_us)
--- a/src/tasks/link_task.c
+++ b/src/tasks/link_task.c
@@ -160,8 +160,8 @@
 	counters->reset += end == HTTP_CONN_RESET;
 	counters->garbage += end == HTTP_CONN_GARBAGE;
 	if (end == HTTP_CONN_RESET && conn->opened && !conn->answered &&
-	    searcher->connections_most > 1)
-		searcher->connections_most--;
+	    searcher->connections_max > 1)
+		searcher->connections_max--;
 }
 
 static link_conn_t *open_conn(link_t *link);
--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -197,7 +197,7 @@
 	g_ptr_array_add(pool->searchers, searcher);
 	sharing_take(&sharing, &site->fleet, vm->name, CONSTANT);
 	taken.warms = sharing_apply(&sharing, pool, routing);
-	taken.connections = searcher->connections_most;
+	taken.connections = searcher->connections_max;
 	taken.constant = pool->bound.constant;
 	sharing_clear(&sharing);
 	registry_free(registry);
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -321,7 +321,7 @@
 	registry_put(play->registry, &entry, play->now_us);
 	searcher = registry_find(play->registry, id);
 	if (searcher)
-		searcher->connections_most = MAX(searcher->connections_most, 8);
+		searcher->connections_max = MAX(searcher->connections_max, 8);
 }
 
 static void do_searcher(void *ctx, char **words)
@@ -437,7 +437,7 @@
 	play_t *play = ctx;
 	searcher_t *searcher = registry_find(play->registry, words[1]);
 
-	searcher->connections_most = (uint32_t)atoi(words[2]);
+	searcher->connections_max = (uint32_t)atoi(words[2]);
 	forwarder_room(play->forwarder, searcher->service, play->now_us);
 }
 
--- a/tests/front_world.c
+++ b/tests/front_world.c
@@ -556,7 +556,7 @@
 					.changes = ++fake->changes};
 
 	registry_put(world->registry, &entry, world->now_us);
-	registry_find(world->registry, fake->id)->connections_most = 4;
+	registry_find(world->registry, fake->id)->connections_max = 4;
 }
 
 void front_world_register(front_world_t *world, fake_t *fake)
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -190,9 +190,9 @@
 		for (guint i = 0; i < 3; i++) {
 			const searcher_t *searcher = g_ptr_array_index(site.pool->searchers, i);
 
-			assert_true(searcher->connections_most >= 1);
+			assert_true(searcher->connections_max >= 1);
 			held[i] +=
-				searcher->distance == DISTANCE_FAR ? 0 : searcher->connections_most;
+				searcher->distance == DISTANCE_FAR ? 0 : searcher->connections_max;
 		}
 		g_hash_table_unref(counts.by_region);
 		site_end(&site);
@@ -211,12 +211,12 @@
 	counts.regions = site.regions;
 	connection_share_set(site.pool, 25, &counts);
 	for (guint i = 0; i < 3; i++)
-		assert_int_equal(((searcher_t *)g_ptr_array_index(site.pool->searchers, i))
-					 ->connections_most,
-				 3);
+		assert_int_equal(
+			((searcher_t *)g_ptr_array_index(site.pool->searchers, i))->connections_max,
+			3);
 	connection_share_set(site.pool, 0, &counts);
 	assert_int_equal(
-		((searcher_t *)g_ptr_array_index(site.pool->searchers, 0))->connections_most, 1);
+		((searcher_t *)g_ptr_array_index(site.pool->searchers, 0))->connections_max, 1);
 	site_end(&site);
 }
 
@@ -236,16 +236,16 @@
 	for (guint i = 0; i < 3; i++) {
 		searcher_t *searcher = g_ptr_array_index(site.pool->searchers, i);
 
-		searcher->connections_most = 2;
+		searcher->connections_max = 2;
 		searcher->idle = 1;
 	}
 	assert_ptr_equal(placement_choose(&candidates, rand, now_us), near);
 	for (int i = 0; i < 4; i++)
-		searcher_note_answer(near, 150000, now_us += SECOND_US);
+		searcher_record_answer(near, 150000, now_us += SECOND_US);
 	assert_ptr_not_equal(placement_choose(&candidates, rand, now_us), near);
 	now_us += 10 * SECOND_US;
 	assert_ptr_equal(placement_choose(&candidates, rand, now_us), near);
-	searcher_note_failure(near, now_us);
+	searcher_record_failure(near, now_us);
 	assert_ptr_not_equal(placement_choose(&candidates, rand, now_us), near);
 	site_end(&site);
 	g_rand_free(rand);
