--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -73,7 +73,7 @@
 static uint64_t come_back_us(const forward_t *forward, lack_t lack, uint64_t now_us)
 {
 	return retry_after_us(lack, forward_left_us(forward, now_us),
-			      registry_is_store_away(forward->forwarder->registry));
+			      registry_is_store_unreachable(forward->forwarder->registry));
 }
 
 void forward_refuse(forward_t *forward, forward_end_t end, uint64_t now_us)
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -244,7 +244,7 @@
 		searcher_record_refusal(sub->searcher, now_us);
 		break;
 	case SUB_REPLACED:
-		registry_note_replaced(forwarder->registry, sub->searcher);
+		registry_mark_replaced(forwarder->registry, sub->searcher);
 		break;
 	default:
 		searcher_record_failure(sub->searcher, now_us);
@@ -427,7 +427,7 @@
 {
 	forward_t forward = {.forwarder = forwarder, .request = *request, .owner = owner};
 	forward_answer_t answer = {.end = end};
-	bool away = registry_is_store_away(forwarder->registry);
+	bool away = registry_is_store_unreachable(forwarder->registry);
 
 	if (end == FORWARD_NOT_READY)
 		answer.retry_after_us = retry_after_us(LACK_NEWS, request->patience_us, away);
@@ -506,7 +506,7 @@
 		answer_unrouted(forwarder, request, owner, FORWARD_LEAVING);
 		return NULL;
 	}
-	if (!forwarder->routing || !registry_is_known(forwarder->registry)) {
+	if (!forwarder->routing || !registry_is_ready(forwarder->registry)) {
 		answer_unrouted(forwarder, request, owner, FORWARD_NOT_READY);
 		return NULL;
 	}
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -4,43 +4,47 @@
  */
 #include "core/registry.h"
 
-/* Searchers whose entries lapsed while the store was away register again within two seconds of its
- * return; a little more for the way. Well below the time that a leaving searcher goes on serving.
+/* Searchers whose entries lapsed while the store was unreachable register again within two seconds
+ * of its recovery; the rest allows for network delay. This is well below the time for which a
+ * draining searcher goes on serving. */
+#define REREGISTER_GRACE_US 2300000
+/* A restored store removes the entries of searchers that have left after three missed heartbeats,
+ * of one to two seconds each. Until then it may list them again. */
+#define RESTORED_GUARD_US 12000000
+/* The pool's median is updated by every answer of its searchers, so a small step keeps it steady.
  */
-#define LAPSE_US 2300000
-/* Searchers that have left are removed from a restored store after three heartbeats of silence, of
- * one to two seconds each. */
-#define COPIED_US 12000000
-/* The pool's median follows all its answers, so a smaller step keeps it steady. */
 #define TYPICAL_STEP 0.05
 
-/* Starts are remembered after their entries are gone, for reports that come late: at 17,000
- * searchers, some MB at most. Past so many for each one registered, all but those are forgotten. */
-#define STARTS_EACH 4
-#define STARTS_LEAST 1024
+/* Incarnations are remembered after their entries are removed, so that late reports can be
+ * recognised: a few MB at most with 17,000 searchers. When there are more than this many per
+ * registered searcher, those that are not registered are evicted. */
+#define INCARNATIONS_PER_SEARCHER 4
+#define INCARNATIONS_MIN 1024
 
-/* The latest start of an id that was heard of. */
-typedef struct start_t {
+/* The latest known incarnation of an id. */
+typedef struct incarnation_t {
 	uint64_t born_ms;
-	uint64_t changes; /* of its entry */
+	uint64_t changes; /* change counter of its latest entry */
 	bool draining;
 	bool gone; /* its entry was removed */
-} start_t;
+} incarnation_t;
 
 struct registry_t {
-	place_t place;
+	locality_t locality;
 	retry_bound_t bound;
 	const registry_ops_t *ops;
 	void *ctx;
-	GHashTable *by_id;     /* id to searcher_t */
-	GHashTable *starts;    /* id to start_t; those that are gone, too */
-	GHashTable *pools;     /* service to pool_t */
-	GHashTable *listed;    /* ids seen in the list being taken in; NULL between lists */
-	GHashTable *lapsing;   /* id to nothing: missing, and perhaps registering again */
-	GHashTable *evacuated; /* data centres that are */
-	uint64_t lapse_end_us;
-	uint64_t copied_until_us; /* until then entries may be those of a copy of the store */
-	bool store_away;
+	GHashTable *by_id;	      /* id to searcher_t */
+	GHashTable *incarnations;     /* id to incarnation_t, including removed ones */
+	GHashTable *pools;	      /* service to pool_t */
+	GHashTable *listed;	      /* ids seen in the list being loaded; NULL between lists */
+	GHashTable *pending_removals; /* set of ids that are missing from the store but may
+				       * register again */
+	GHashTable *evacuated;	      /* set of evacuated data centres */
+	uint64_t grace_end_us;
+	uint64_t restored_guard_end_us; /* until then, the store may list entries from an older copy
+					 * that were removed since */
+	bool store_unreachable;
 	bool known;
 	bool awaits_evacuations;
 };
@@ -54,33 +58,33 @@
 	g_free(pool);
 }
 
-registry_t *registry_new(const place_t *place, const retry_bound_t *bound,
+registry_t *registry_new(const locality_t *locality, const retry_bound_t *bound,
 			 const registry_ops_t *ops, void *ctx)
 {
 	registry_t *registry = g_new0(registry_t, 1);
 
-	registry->place.data_centre = g_strdup(place->data_centre);
-	registry->place.regions = g_hash_table_ref(place->regions);
+	registry->locality.data_centre = g_strdup(locality->data_centre);
+	registry->locality.regions = g_hash_table_ref(locality->regions);
 	registry->bound = *bound;
 	registry->ops = ops;
 	registry->ctx = ctx;
 	registry->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						(GDestroyNotify)searcher_unref);
-	registry->starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	registry->incarnations = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	registry->pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pool_free);
-	registry->lapsing = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	registry->pending_removals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	registry->evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return registry;
 }
 
 void registry_free(registry_t *registry)
 {
-	g_free(registry->place.data_centre);
-	g_hash_table_unref(registry->place.regions);
+	g_free(registry->locality.data_centre);
+	g_hash_table_unref(registry->locality.regions);
 	g_hash_table_unref(registry->pools);
 	g_hash_table_unref(registry->by_id);
-	g_hash_table_unref(registry->starts);
-	g_hash_table_unref(registry->lapsing);
+	g_hash_table_unref(registry->incarnations);
+	g_hash_table_unref(registry->pending_removals);
 	g_hash_table_unref(registry->evacuated);
 	if (registry->listed)
 		g_hash_table_unref(registry->listed);
@@ -89,11 +93,11 @@
 
 static distance_t distance_of(const registry_t *registry, const char *data_centre)
 {
-	const place_t *place = &registry->place;
-	const char *own = g_hash_table_lookup(place->regions, place->data_centre);
-	const char *other = g_hash_table_lookup(place->regions, data_centre);
+	const locality_t *locality = &registry->locality;
+	const char *own = g_hash_table_lookup(locality->regions, locality->data_centre);
+	const char *other = g_hash_table_lookup(locality->regions, data_centre);
 
-	if (g_str_equal(place->data_centre, data_centre))
+	if (g_str_equal(locality->data_centre, data_centre))
 		return DISTANCE_LOCAL;
 	return own && other && g_str_equal(own, other) ? DISTANCE_REGION : DISTANCE_FAR;
 }
@@ -115,73 +119,75 @@
 	return pool;
 }
 
-/* ---- starts of searchers ---- */
+/* ---- incarnations of searchers ---- */
 
-static void forget_starts(registry_t *registry)
+static void evict_incarnations(registry_t *registry)
 {
 	GHashTableIter iter;
 	gpointer id;
 
-	g_hash_table_iter_init(&iter, registry->starts);
+	g_hash_table_iter_init(&iter, registry->incarnations);
 	while (g_hash_table_iter_next(&iter, &id, NULL))
 		if (!g_hash_table_contains(registry->by_id, id))
 			g_hash_table_iter_remove(&iter);
 }
 
-static start_t *start_of(registry_t *registry, const char *id)
+static incarnation_t *incarnation_of(registry_t *registry, const char *id)
 {
-	guint most = MAX(STARTS_LEAST, STARTS_EACH * g_hash_table_size(registry->by_id));
-	start_t *start = g_hash_table_lookup(registry->starts, id);
+	guint max = MAX(INCARNATIONS_MIN,
+			INCARNATIONS_PER_SEARCHER * g_hash_table_size(registry->by_id));
+	incarnation_t *incarnation = g_hash_table_lookup(registry->incarnations, id);
 
-	if (start)
-		return start;
-	if (g_hash_table_size(registry->starts) >= most)
-		forget_starts(registry);
-	start = g_new0(start_t, 1);
-	g_hash_table_insert(registry->starts, g_strdup(id), start);
-	return start;
+	if (incarnation)
+		return incarnation;
+	if (g_hash_table_size(registry->incarnations) >= max)
+		evict_incarnations(registry);
+	incarnation = g_new0(incarnation_t, 1);
+	g_hash_table_insert(registry->incarnations, g_strdup(id), incarnation);
+	return incarnation;
 }
 
-/* Whether something newer is known than a report of the start @p born_ms of @p id. */
+/* Whether a report about the incarnation @p born_ms of @p id is older than what is known. */
 static bool is_outdated(const registry_t *registry, const char *id, uint64_t born_ms)
 {
-	const start_t *start = g_hash_table_lookup(registry->starts, id);
+	const incarnation_t *incarnation = g_hash_table_lookup(registry->incarnations, id);
 
-	return start && born_ms < start->born_ms;
+	return incarnation && born_ms < incarnation->born_ms;
 }
 
-/* Draining is final for a start: a stale read must not bring work back to one that leaves. */
-static void note_start(registry_t *registry, const searcher_entry_t *entry)
+/* Draining is final for an incarnation: a stale read must not make a draining searcher ready again.
+ */
+static void record_incarnation(registry_t *registry, const searcher_entry_t *entry)
 {
-	start_t *start = start_of(registry, entry->id);
+	incarnation_t *incarnation = incarnation_of(registry, entry->id);
 
-	if (entry->born_ms > start->born_ms) {
-		start->draining = false;
-		start->changes = 0;
+	if (entry->born_ms > incarnation->born_ms) {
+		incarnation->draining = false;
+		incarnation->changes = 0;
 	}
-	start->born_ms = entry->born_ms;
-	start->changes = MAX(start->changes, entry->changes);
-	start->gone = false;
-	start->draining = start->draining || entry->draining;
+	incarnation->born_ms = entry->born_ms;
+	incarnation->changes = MAX(incarnation->changes, entry->changes);
+	incarnation->gone = false;
+	incarnation->draining = incarnation->draining || entry->draining;
 }
 
 /* ---- searchers ---- */
 
 static void add(registry_t *registry, const searcher_entry_t *entry, uint64_t now_us)
 {
-	const char *region = g_hash_table_lookup(registry->place.regions, entry->data_centre);
+	const char *region = g_hash_table_lookup(registry->locality.regions, entry->data_centre);
 	searcher_t *searcher =
 		searcher_new(entry, distance_of(registry, entry->data_centre), region, now_us);
 
 	searcher->evacuated = g_hash_table_contains(registry->evacuated, entry->data_centre);
-	if (start_of(registry, entry->id)->draining)
+	if (incarnation_of(registry, entry->id)->draining)
 		searcher->state = SEARCHER_DRAINING;
 	g_hash_table_insert(registry->by_id, searcher->id, searcher);
 	g_ptr_array_add(registry_pool(registry, entry->service)->searchers, searcher_ref(searcher));
 	registry->ops->changed(registry->ctx, searcher);
 }
 
-static void take_out(registry_t *registry, const char *id, searcher_state_t state)
+static void remove_searcher(registry_t *registry, const char *id, searcher_state_t state)
 {
 	searcher_t *searcher = g_hash_table_lookup(registry->by_id, id);
 
@@ -195,40 +201,42 @@
 	searcher_unref(searcher);
 }
 
-static void remove_now(registry_t *registry, const char *id)
+static void remove_entry(registry_t *registry, const char *id)
 {
 	if (g_hash_table_contains(registry->by_id, id))
-		start_of(registry, id)->gone = true;
-	take_out(registry, id, SEARCHER_GONE);
+		incarnation_of(registry, id)->gone = true;
+	remove_searcher(registry, id, SEARCHER_GONE);
 }
 
 /*
- * An entry that was removed, as a copy of the store still holds it: its searcher has left, and its
- * address may be another's. One that lives writes again, with another change of its entry.
+ * Whether the entry was removed and now reappears from an older copy of the store. Its searcher has
+ * left, and another one may have its address. A live searcher writes its entry again, with a higher
+ * change counter.
  */
-static bool is_of_copy(const registry_t *registry, const searcher_entry_t *entry, uint64_t now_us)
+static bool is_stale_restored(const registry_t *registry, const searcher_entry_t *entry,
+			      uint64_t now_us)
 {
-	const start_t *start = g_hash_table_lookup(registry->starts, entry->id);
+	const incarnation_t *incarnation = g_hash_table_lookup(registry->incarnations, entry->id);
 
-	return start && start->gone && now_us < registry->copied_until_us &&
-	       entry->born_ms == start->born_ms && entry->changes <= start->changes;
+	return incarnation && incarnation->gone && now_us < registry->restored_guard_end_us &&
+	       entry->born_ms == incarnation->born_ms && entry->changes <= incarnation->changes;
 }
 
-static void note_listed(registry_t *registry, const char *id)
+static void mark_listed(registry_t *registry, const char *id)
 {
 	if (registry->listed)
 		g_hash_table_add(registry->listed, g_strdup(id));
-	g_hash_table_remove(registry->lapsing, id);
+	g_hash_table_remove(registry->pending_removals, id);
 }
 
 /*
- * What is left only shrinks while a searcher warms up; more than by its last word means that it has
- * become cold again. Each word is heard some time after it was written, so the earliest end that
- * any of them gives is the nearest to the truth, and not before it. True when those that wait for
- * the searcher should know.
+ * The remaining cold time only decreases while a searcher warms up; a value above that of its
+ * previous entry means that it has become cold again. Each entry arrives some time after it was
+ * written, so the earliest end that any of them gives is the closest to the true one, and never
+ * before it. Returns true when parts that wait for the searcher should be reconsidered.
  */
-static bool note_cold(registry_t *registry, searcher_t *searcher, const searcher_entry_t *entry,
-		      uint64_t now_us)
+static bool update_cold(registry_t *registry, searcher_t *searcher, const searcher_entry_t *entry,
+			uint64_t now_us)
 {
 	uint64_t until_us = now_us + entry->cold_us;
 	bool again = entry->cold_us > searcher->cold_us;
@@ -243,8 +251,8 @@
 	return again || (sooner && registry_pool(registry, entry->service)->waiting.length);
 }
 
-/* It is to get nothing new; true when that is news. */
-static bool note_draining(searcher_t *searcher, const searcher_entry_t *entry)
+/* Marks the searcher as draining if its entry says so; returns whether its state changed. */
+static bool update_draining(searcher_t *searcher, const searcher_entry_t *entry)
 {
 	if (!entry->draining || searcher->state != SEARCHER_READY)
 		return false;
@@ -257,51 +265,53 @@
 	searcher_t *searcher = g_hash_table_lookup(registry->by_id, entry->id);
 	bool changed;
 
-	note_listed(registry, entry->id);
-	if (is_outdated(registry, entry->id, entry->born_ms) || is_of_copy(registry, entry, now_us))
+	mark_listed(registry, entry->id);
+	if (is_outdated(registry, entry->id, entry->born_ms) ||
+	    is_stale_restored(registry, entry, now_us))
 		return;
-	note_start(registry, entry);
-	/* Nothing that is known of the process before it holds for this one. */
+	record_incarnation(registry, entry);
+	/* Nothing known of the previous process applies to the new one. */
 	if (searcher && entry->born_ms > searcher->born_ms) {
-		take_out(registry, entry->id, SEARCHER_ENDED);
+		remove_searcher(registry, entry->id, SEARCHER_ENDED);
 		searcher = NULL;
 	}
 	if (!searcher) {
 		add(registry, entry, now_us);
 		return;
 	}
-	/* Both before anybody is told: one word may say that it is warm and that it leaves. */
-	changed = note_draining(searcher, entry);
-	changed = note_cold(registry, searcher, entry, now_us) || changed;
+	/* Apply both updates before the callback: one entry may report that the searcher is warm
+	 * and that it is draining. */
+	changed = update_draining(searcher, entry);
+	changed = update_cold(registry, searcher, entry, now_us) || changed;
 	if (changed)
 		registry->ops->changed(registry->ctx, searcher);
 }
 
 void registry_put_unreadable(registry_t *registry, const char *id)
 {
-	note_listed(registry, id);
-	remove_now(registry, id);
+	mark_listed(registry, id);
+	remove_entry(registry, id);
 }
 
 /*
- * While the store is away, entries lapse although their searchers live; on its return all of them
- * seem to be gone at once, and every request would be refused. So a removal soon after its return
- * waits for the searcher to register again.
+ * While the store is unreachable, entries lapse although their searchers are alive. When it
+ * recovers, all of them seem to be gone at once, and every request would be rejected. So a removal
+ * soon after the recovery waits for the searcher to register again.
  */
 void registry_remove(registry_t *registry, const char *id, uint64_t born_ms, uint64_t now_us)
 {
 	searcher_t *searcher = g_hash_table_lookup(registry->by_id, id);
-	bool may_be_lapse = registry->store_away || now_us < registry->lapse_end_us;
+	bool may_be_lapsed = registry->store_unreachable || now_us < registry->grace_end_us;
 
 	if (!searcher || (born_ms && is_outdated(registry, id, born_ms)))
 		return;
-	if (may_be_lapse && searcher->state == SEARCHER_READY)
-		g_hash_table_add(registry->lapsing, g_strdup(id));
+	if (may_be_lapsed && searcher->state == SEARCHER_READY)
+		g_hash_table_add(registry->pending_removals, g_strdup(id));
 	else
-		remove_now(registry, id);
+		remove_entry(registry, id);
 }
 
-void registry_note_replaced(registry_t *registry, searcher_t *searcher)
+void registry_mark_replaced(registry_t *registry, searcher_t *searcher)
 {
 	if (searcher->state >= SEARCHER_GONE)
 		return;
@@ -309,7 +319,8 @@
 	registry->ops->changed(registry->ctx, searcher);
 }
 
-/* Whatever follows from a change may change the registry, too: not while it is gone through. */
+/* Collects the searchers first, because the callback for a change may modify the registry, which
+ * must not happen during an iteration over it. */
 static GPtrArray *searchers_in(registry_t *registry, const char *data_centre)
 {
 	GPtrArray *found = g_ptr_array_new_with_free_func((GDestroyNotify)searcher_unref);
@@ -327,10 +338,11 @@
 }
 
 /*
- * Left alone for a while, its searchers may have become cold, and their word of it is a heartbeat
- * behind: all VMs would turn to them at once, and they would crash.
+ * Searchers that were idle during an evacuation may have become cold, and their entries report this
+ * one heartbeat late. Without a limit, all VMs would send to them at once, and they would crash.
  */
-static void evacuate(registry_t *registry, searcher_t *searcher, bool evacuated, uint64_t now_us)
+static void apply_evacuation(registry_t *registry, searcher_t *searcher, bool evacuated,
+			     uint64_t now_us)
 {
 	const pool_t *pool = registry_pool(registry, searcher->service);
 
@@ -351,7 +363,7 @@
 	else
 		g_hash_table_remove(registry->evacuated, data_centre);
 	for (guint i = 0; i < searchers->len; i++)
-		evacuate(registry, g_ptr_array_index(searchers, i), evacuated, now_us);
+		apply_evacuation(registry, g_ptr_array_index(searchers, i), evacuated, now_us);
 	for (guint i = 0; i < searchers->len; i++)
 		registry->ops->changed(registry->ctx, g_ptr_array_index(searchers, i));
 }
@@ -384,26 +396,26 @@
 
 void registry_store_lost(registry_t *registry)
 {
-	registry->store_away = true;
+	registry->store_unreachable = true;
 }
 
-void registry_store_back(registry_t *registry, uint64_t now_us)
+void registry_store_recovered(registry_t *registry, uint64_t now_us)
 {
-	if (!registry->store_away)
+	if (!registry->store_unreachable)
 		return;
-	registry->store_away = false;
-	registry->lapse_end_us = now_us + LAPSE_US;
+	registry->store_unreachable = false;
+	registry->grace_end_us = now_us + REREGISTER_GRACE_US;
 }
 
 void registry_store_restored(registry_t *registry, uint64_t now_us)
 {
-	registry->lapse_end_us = now_us + LAPSE_US;
-	registry->copied_until_us = now_us + COPIED_US;
+	registry->grace_end_us = now_us + REREGISTER_GRACE_US;
+	registry->restored_guard_end_us = now_us + RESTORED_GUARD_US;
 }
 
-bool registry_is_store_away(const registry_t *registry)
+bool registry_is_store_unreachable(const registry_t *registry)
 {
-	return registry->store_away;
+	return registry->store_unreachable;
 }
 
 uint64_t registry_run(registry_t *registry, uint64_t now_us)
@@ -412,21 +424,21 @@
 	GHashTableIter iter;
 	gpointer id;
 
-	if (registry->store_away || !g_hash_table_size(registry->lapsing))
+	if (registry->store_unreachable || !g_hash_table_size(registry->pending_removals))
 		return UINT64_MAX;
-	if (now_us < registry->lapse_end_us)
-		return registry->lapse_end_us;
+	if (now_us < registry->grace_end_us)
+		return registry->grace_end_us;
 	due = g_ptr_array_new_with_free_func(g_free);
-	g_hash_table_iter_init(&iter, registry->lapsing);
+	g_hash_table_iter_init(&iter, registry->pending_removals);
 	while (g_hash_table_iter_next(&iter, &id, NULL))
 		g_ptr_array_add(due, g_strdup(id));
-	g_hash_table_remove_all(registry->lapsing);
+	g_hash_table_remove_all(registry->pending_removals);
 	for (guint i = 0; i < due->len; i++)
-		remove_now(registry, g_ptr_array_index(due, i));
+		remove_entry(registry, g_ptr_array_index(due, i));
 	return UINT64_MAX;
 }
 
-bool registry_is_known(const registry_t *registry)
+bool registry_is_ready(const registry_t *registry)
 {
 	return registry->known && !registry->awaits_evacuations;
 }
--- a/src/core/shedding.c
+++ b/src/core/shedding.c
@@ -44,7 +44,7 @@
 
 void shedding_note_wait(pool_t *pool, uint64_t now_us)
 {
-	pool->short_us = now_us;
+	pool->last_exhausted_us = now_us;
 }
 
 void shedding_note_part(pool_t *pool, bool shed)
@@ -54,5 +54,5 @@
 
 bool shedding_is_on(const pool_t *pool, uint64_t now_us)
 {
-	return pool->short_us && now_us - pool->short_us < SHORT_FOR_US;
+	return pool->last_exhausted_us && now_us - pool->last_exhausted_us < SHORT_FOR_US;
 }
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -343,7 +343,7 @@
 	const forward_answer_t answer = {
 		.end = FORWARD_NOT_READY,
 		.retry_after_us = retry_after_us(LACK_NEWS, relay->request.patience_us,
-						 registry_is_store_away(task->registry))};
+						 registry_is_store_unreachable(task->registry))};
 
 	g_message("event=answer request=%s outcome=not-ready reason=configuration-behind",
 		  relay->request.id ? relay->request.id : "");
@@ -470,7 +470,7 @@
 	const routing_t *routing = forwarder_routing(task->forwarder);
 	const route_t *route;
 
-	if (!routing || !registry_is_known(task->registry)) {
+	if (!routing || !registry_is_ready(task->registry)) {
 		*reason = HOP_NOT_READY;
 		return false;
 	}
@@ -588,7 +588,7 @@
 {
 	front_task_t *task = ctx;
 	bool ready = !task->leaving && forwarder_routing(task->forwarder) &&
-		     registry_is_known(task->registry);
+		     registry_is_ready(task->registry);
 	const char *text = ready ? "ready\n" : "not ready\n";
 
 	http_exchange_reply(exchange, ready ? 200 : 503, "text/plain", text, strlen(text));
@@ -640,7 +640,8 @@
 static void start_registry(front_task_t *task, const settings_t *settings)
 {
 	static const registry_ops_t ops = {.changed = on_searcher_changed};
-	const place_t place = {.data_centre = settings->data_centre, .regions = settings->regions};
+	const locality_t place = {.data_centre = settings->data_centre,
+				  .regions = settings->regions};
 	const retry_bound_t bound = {.ratio = settings->retry_ratio,
 				     .window_us = (uint64_t)settings->retry_window_s * 1000000};
 
--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -219,7 +219,7 @@
 
 void store_reader_back(store_reader_t *reader)
 {
-	registry_store_back(reader->registry, loop_now_us());
+	registry_store_recovered(reader->registry, loop_now_us());
 	run_registry(reader);
 }
 
--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -186,7 +186,7 @@
 				  .data_centre = "a1",
 				  .slots = 2};
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = 1000000};
-	const place_t place = {.data_centre = vm->data_centre, .regions = site->regions};
+	const locality_t place = {.data_centre = vm->data_centre, .regions = site->regions};
 	static const registry_ops_t ops = {0};
 	registry_t *registry = registry_new(&place, &bound, &ops, NULL);
 	pool_t *pool = registry_pool(registry, service);
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -11,7 +11,7 @@
  * - `drain ID, gone ID [BORN_MS]`: the store says so
  * - `bears SERVICE PER_S COLD_MS`: what its searchers are sent while cold, and for how long
  * - `cold ID MS [SHARE]`: by its entry; this VM may send it SHARE in a window
- * - `evacuate DATA_CENTRE, reopen DATA_CENTRE`: its operator says so
+ * - `apply_evacuation DATA_CENTRE, reopen DATA_CENTRE`: its operator says so
  * - `unreadable ID`: its entry in the store can't be read any more
  * - `lost, back`: the store stops answering, or answers again
  * - `list ID...`: the store's whole list
@@ -199,7 +199,7 @@
 					    .poison = &poison_ops};
 	play_t *play = g_new0(play_t, 1);
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = BOUND_WINDOW_US, .constant = 2};
-	place_t place = {.data_centre = "here"};
+	locality_t place = {.data_centre = "here"};
 
 	play->out = out;
 	play->now_us = 1000000000;
@@ -327,7 +327,7 @@
 static void do_searcher(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	if (!registry_is_known(play->registry)) {
+	if (!registry_is_ready(play->registry)) {
 		registry_list_begin(play->registry);
 		registry_list_end(play->registry, play->now_us);
 	}
@@ -429,7 +429,7 @@
 {
 	play_t *play = ctx;
 	(void)words;
-	registry_store_back(play->registry, play->now_us);
+	registry_store_recovered(play->registry, play->now_us);
 }
 
 static void do_room(void *ctx, char **words)
--- a/tests/front_matrix_test.c
+++ b/tests/front_matrix_test.c
@@ -83,7 +83,7 @@
 static void store_lapses(scene_t *scene)
 {
 	registry_store_lost(scene->world->registry);
-	registry_store_back(scene->world->registry, scene->world->now_us);
+	registry_store_recovered(scene->world->registry, scene->world->now_us);
 	both_gone(scene);
 }
 
--- a/tests/front_random_test.c
+++ b/tests/front_random_test.c
@@ -101,7 +101,7 @@
 
 static void store_comes(front_world_t *world)
 {
-	registry_store_back(world->registry, world->now_us);
+	registry_store_recovered(world->registry, world->now_us);
 }
 
 static void stands_still(front_world_t *world)
--- a/tests/front_world.c
+++ b/tests/front_world.c
@@ -807,7 +807,7 @@
 	const retry_bound_t bound = {.ratio = RATIO, .window_us = WINDOW_US, .constant = CONSTANT};
 	front_world_t *world = g_new0(front_world_t, 1);
 	g_autoptr(GHashTable) regions = g_hash_table_new(g_str_hash, g_str_equal);
-	const place_t place = {.data_centre = "here", .regions = regions};
+	const locality_t place = {.data_centre = "here", .regions = regions};
 
 	g_hash_table_insert(regions, "here", "one");
 	g_hash_table_insert(regions, "there", "two");
--- a/tests/load_world.c
+++ b/tests/load_world.c
@@ -671,7 +671,7 @@
 		.ratio = RATIO, .window_us = WINDOW_US, .constant = 0.8 * CONSTANT / (vms + 1)};
 	vm_sim_t *vm = &world->vms[index];
 	g_autoptr(GHashTable) regions = g_hash_table_new(g_str_hash, g_str_equal);
-	place_t place = {.regions = regions};
+	locality_t place = {.regions = regions};
 
 	vm->world = world;
 	vm->data_centre = index % DATA_CENTRES;
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -135,7 +135,7 @@
 	static const char *const centres[] = {"a", "b", "c", "d", "e", "f"};
 	static const char *const regions[] = {"1", "2", "3", "1", "2", "3"};
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = 10 * SECOND_US};
-	place_t place = {.data_centre = (char *)data_centre};
+	locality_t place = {.data_centre = (char *)data_centre};
 
 	site->regions = g_hash_table_new(g_str_hash, g_str_equal);
 	for (size_t i = 0; i < G_N_ELEMENTS(centres); i++)
