--- a/src/core/handover.c
+++ b/src/core/handover.c
@@ -54,7 +54,7 @@
 	for (guint i = 0; i < all->gatherers->len; i++) {
 		gatherer_t *gatherer = g_ptr_array_index(all->gatherers, i);
 
-		if (gatherer_is(gatherer, vm))
+		if (gatherer_matches(gatherer, vm))
 			return gatherer_ref(gatherer);
 	}
 	return NULL;
@@ -96,7 +96,7 @@
 	timers_cancel(&all->timers, &handover->timer);
 	g_hash_table_remove(all->open, &handover->serial);
 	if (handover->gatherer)
-		handover->gatherer->out--;
+		handover->gatherer->outstanding--;
 	g_ptr_array_unref(handover->asked);
 	g_free(handover);
 }
@@ -108,7 +108,7 @@
 		return true;
 	if (gatherer->local != than->local)
 		return gatherer->local;
-	return gatherer->out < than->out;
+	return gatherer->outstanding < than->outstanding;
 }
 
 static gatherer_t *choose(const handovers_t *all, const GPtrArray *asked, uint64_t now_us)
@@ -118,7 +118,7 @@
 	for (guint i = 0; i < all->gatherers->len; i++) {
 		gatherer_t *gatherer = g_ptr_array_index(all->gatherers, i);
 
-		if (!gatherer_takes(gatherer, now_us) ||
+		if (!gatherer_is_available(gatherer, now_us) ||
 		    (asked && g_ptr_array_find((GPtrArray *)asked, gatherer, NULL)))
 			continue;
 		if (is_better(gatherer, best))
@@ -130,7 +130,7 @@
 static void arm(handover_t *handover, uint64_t now_us)
 {
 	uint64_t next_us = handover->terms.deadline_us + DELIVERY_US;
-	uint64_t wait_us = gatherer_silent_us(handover->gatherer, handover->terms.target_us);
+	uint64_t wait_us = gatherer_timeout_us(handover->gatherer, handover->terms.target_us);
 
 	if (!handover->taken)
 		next_us = MIN(next_us, now_us + wait_us);
@@ -145,7 +145,7 @@
 	handover->taken = false;
 	handover->attempts_left -= FIRST_ATTEMPTS;
 	handover->sent_us = now_us;
-	gatherer->out++;
+	gatherer->outstanding++;
 	g_ptr_array_add(handover->asked, gatherer_ref(gatherer));
 	all->counters.again += handover->unknown;
 	arm(handover, now_us);
@@ -154,7 +154,7 @@
 
 static void take_back(handover_t *handover)
 {
-	handover->gatherer->out--;
+	handover->gatherer->outstanding--;
 	handover->gatherer = NULL;
 }
 
@@ -250,8 +250,8 @@
 
 	all->counters.silent++;
 	all->ops->silent(all->ctx, handover, now_us - handover->sent_us);
-	if (handover->gatherer->state == GATHERER_THERE)
-		handover->gatherer->state = GATHERER_SILENT;
+	if (handover->gatherer->state == GATHERER_READY)
+		handover->gatherer->state = GATHERER_UNRESPONSIVE;
 	all->ops->cancel(all->ctx, handover);
 	handover->unknown = true;
 	take_back(handover);
@@ -296,7 +296,7 @@
 	if (handover->taken)
 		return;
 	handover->taken = true;
-	quantile_add(&handover->gatherer->taken, now_us - handover->sent_us);
+	quantile_add(&handover->gatherer->accept_latency, now_us - handover->sent_us);
 	arm(handover, now_us);
 	if (!more)
 		return;
@@ -330,7 +330,7 @@
 	all->ops->cancel(all->ctx, handover);
 	take_back(handover);
 	handover->gatherer = gatherer;
-	gatherer->out++;
+	gatherer->outstanding++;
 	finish(handover, answer);
 }
 
@@ -338,8 +338,8 @@
 {
 	if (type == HOP_LEAVING)
 		gatherer->state = GATHERER_LEAVING;
-	else if (gatherer->state == GATHERER_OPENS || gatherer->state == GATHERER_SILENT)
-		gatherer->state = GATHERER_THERE;
+	else if (gatherer->state == GATHERER_PINGED || gatherer->state == GATHERER_UNRESPONSIVE)
+		gatherer->state = GATHERER_READY;
 }
 
 void handovers_heard(handovers_t *all, gatherer_t *gatherer, const hop_message_t *message,
--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -137,7 +137,7 @@
 			out,
 			"dogwoodsaddle_gatherer{vm=\"%s\",data_centre=\"%s\",state=\"%s\"} %u\n",
 			gatherer->vm->name, gatherer->vm->data_centre,
-			gatherer_state_name(gatherer->state), gatherer->out);
+			gatherer_state_name(gatherer->state), gatherer->outstanding);
 	}
 }
 
--- a/src/tasks/gather_task.c
+++ b/src/tasks/gather_task.c
@@ -53,7 +53,7 @@
  */
 static uint64_t way_us(const gather_task_t *task, const gatherer_t *gatherer)
 {
-	uint64_t hop_us = MIN((uint64_t)gatherer->taken.value_us, WAY_MOST_US);
+	uint64_t hop_us = MIN((uint64_t)gatherer->accept_latency.value_us, WAY_MOST_US);
 
 	return hop_us + (uint64_t)vm_answer_us(task->own);
 }
--- a/src/tasks/hop_client.c
+++ b/src/tasks/hop_client.c
@@ -50,7 +50,7 @@
 	gatherer_t *gatherer = gatherer_ref(link->gatherer);
 
 	g_message("event=gatherer-lost vm=%s state=%s out=%u reason=%s", gatherer->vm->name,
-		  gatherer_state_name(gatherer->state), gatherer->out, reason);
+		  gatherer_state_name(gatherer->state), gatherer->outstanding, reason);
 	link_free(link);
 	handovers_lost(client->handovers, gatherer, loop_now_us());
 	gatherer_unref(gatherer);
@@ -112,7 +112,7 @@
 	link->reader = framing_reader_new(read_message, link);
 	link->heard_us = loop_now_us();
 	gatherer->link = link;
-	gatherer->state = GATHERER_OPENS;
+	gatherer->state = GATHERER_PINGED;
 	g_ptr_array_add(client->links, link);
 	hop_client_write(client, gatherer, &(hop_message_t){.type = HOP_PING});
 }
@@ -122,11 +122,11 @@
 static bool is_to_close(const hop_link_t *link, uint64_t now_us)
 {
 	gatherer_t *gatherer = link->gatherer;
-	bool waits = gatherer->state == GATHERER_OPENS || gatherer->state == GATHERER_SILENT;
+	bool waits = gatherer->state == GATHERER_PINGED || gatherer->state == GATHERER_UNRESPONSIVE;
 	const GPtrArray *chosen = handovers_gatherers(link->client->handovers);
 
 	if (!g_ptr_array_find((GPtrArray *)chosen, gatherer, NULL))
-		return gatherer->out == 0;
+		return gatherer->outstanding == 0;
 	return waits && now_us > link->heard_us + SILENT_MOST_US;
 }
 
@@ -150,7 +150,7 @@
 	for (guint i = 0; i < client->links->len; i++) {
 		const hop_link_t *link = g_ptr_array_index(client->links, i);
 
-		if (link->gatherer->state == GATHERER_SILENT)
+		if (link->gatherer->state == GATHERER_UNRESPONSIVE)
 			hop_client_write(client, link->gatherer,
 					 &(hop_message_t){.type = HOP_PING});
 	}
@@ -168,7 +168,7 @@
 
 		if (gatherer->state == GATHERER_CLOSED)
 			link_open(client, gatherer);
-		useful += gatherer->state == GATHERER_THERE;
+		useful += gatherer->state == GATHERER_READY;
 	}
 	if (gatherers->len || client->links->len)
 		loop_timer_set(client->loop, &client->look_timer, LOOK_US);
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -179,7 +179,7 @@
 	gatherer_t *gatherer = find(play, words[1]);
 
 	if (gatherer->state == GATHERER_CLOSED)
-		gatherer->state = GATHERER_OPENS;
+		gatherer->state = GATHERER_PINGED;
 	hear(play, words[1], NULL, (hop_message_t){.type = HOP_PONG});
 }
 
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -105,7 +105,7 @@
 	'a VM stops watching for a feed that it did not take|src/core/follow.c|s/follow->owed = true;/follow->owed = true;\n\tfollow->watches = false;/'
 	'a gatherer that is behind answers after one that is ahead|src/core/handover.c|s/all->version = version;/;/'
 	'a silent gatherer is waited for|src/core/handover.c|s/if \(!handover->taken\)\n\t\tnext_us/if (0)\n\t\tnext_us/'
-	'a silent gatherer is asked again|src/core/handover.c|s/handover->gatherer->state = GATHERER_SILENT;/;/'
+	'a silent gatherer is asked again|src/core/handover.c|s/handover->gatherer->state = GATHERER_UNRESPONSIVE;/;/'
 	'two gatherers may each use all tries|src/core/handover.c|s/handover->attempts_left -= more;/;/; s/handover->attempts_left < FIRST_ATTEMPTS\) \{/0) {/'
 	'what may have run is said not to have|src/core/handover.c|s/if \(handover->unknown && promises\(told.end\)\)/if (0)/'
 	'what may have run is gathered here, too|src/core/handover.c|s/\} else if \(handover->unknown\) \{/} else if (0) {/'
