--- a/src/core/gatherer_choice.h
+++ b/src/core/gatherer_choice.h
@@ -1,11 +1,12 @@
 /**
  * @file gatherer_choice.h
- * Which VMs gather the answers of many shards, for all others too.
+ * Chooses the VMs that gather the answers of many shards, also on behalf of the other VMs.
  *
- * A gather costs a VM a sub-request for each shard, and each VM that gathers needs connections to
- * every searcher and learns by its own losses which searchers are slow. So in a large fleet a few
- * VMs gather: those with the processor and the link for it. Each VM works them out alone from the
- * list of VMs, and alike; lists that differ for a while only make some VM gather that need not.
+ * A gather costs a VM one sub-request per shard, and each VM that gathers needs connections to
+ * every searcher and learns only from its own failed requests which searchers are slow. So in a
+ * large fleet only a few VMs gather: those with sufficient processor time and link bandwidth. Each
+ * VM computes the gatherers on its own from the list of VMs, with the same result as the others.
+ * While their lists differ, the only effect is that some VM gathers that need not.
  */
 #ifndef DS_GATHERER_CHOICE_H
 #define DS_GATHERER_CHOICE_H
@@ -14,20 +15,22 @@
 
 #include <stdbool.h>
 
-/** What the choice follows from. */
+/** Input of the choice. */
 typedef struct fleet_t {
 	const GPtrArray *vms;	   /**< vm_t */
 	const GHashTable *regions; /**< data centre to region */
-	uint32_t connections;	   /**< that a searcher takes from all VMs together; 0: not known */
+	uint32_t connections;	   /**< connections that a searcher accepts from all VMs together;
+				    * 0: not known */
 } fleet_t;
 
-/** The VMs that gather in @p region; the result borrows from the fleet. */
-GPtrArray *gatherers_of_region(const fleet_t *fleet, const char *region);
-/** The VMs that gather, in all regions; borrowed, too. */
-GPtrArray *gatherers_of_all(const fleet_t *fleet);
+/** The gatherers of @p region; the result borrows from the fleet. */
+GPtrArray *gatherers_in_region(const fleet_t *fleet, const char *region);
+/** The gatherers of all regions; the result borrows from the fleet. */
+GPtrArray *gatherers_in_fleet(const fleet_t *fleet);
 /**
- * Whom the VM @p name hands gathers to, best first: VMs of its own data centre, then others of its
- * region. Empty when it gathers itself, or nobody there gathers for others.
+ * The gatherers that the VM @p name hands gathers to, best first: VMs of its own data centre, then
+ * others of its region. Empty when the VM gathers itself, or when no VM of the region gathers for
+ * others.
  */
 GPtrArray *gatherers_for(const fleet_t *fleet, const char *name, const char *data_centre);
 
--- a/src/core/sharing.c
+++ b/src/core/sharing.c
@@ -24,7 +24,7 @@
 
 void sharing_take(sharing_t *sharing, const fleet_t *fleet, const char *own_name, uint32_t constant)
 {
-	g_autoptr(GPtrArray) gatherers = gatherers_of_all(fleet);
+	g_autoptr(GPtrArray) gatherers = gatherers_in_fleet(fleet);
 	bool few = gatherers->len < fleet->vms->len;
 
 	sharing->constant = CONSTANT_USED * constant;
--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -77,7 +77,7 @@
 		site_start(&site);
 		for (uint32_t i = 0; i < count; i++)
 			add(&site, centres[i % 2], 250, 1000);
-		all = gatherers_of_all(&site.fleet);
+		all = gatherers_in_fleet(&site.fleet);
 		assert_int_equal(all->len, count);
 		for (uint32_t i = 0; i < count; i++) {
 			const vm_t *vm = g_ptr_array_index(site.vms, i);
@@ -127,7 +127,7 @@
 	for (int i = 0; i < 10; i++)
 		add(&site, "c1", 120, 20);
 	add(&site, "c1", 4000, 1000);
-	gatherers = gatherers_of_region(&site.fleet, "c");
+	gatherers = gatherers_in_region(&site.fleet, "c");
 	assert_true(gatherers->len >= 2);
 	site_end(&site);
 }
@@ -143,7 +143,7 @@
 	fill(&site, 30, 2);
 	for (guint i = 0; i < site.vms->len; i++)
 		((vm_t *)g_ptr_array_index(site.vms, i))->gather_port = 0;
-	gatherers = gatherers_of_all(&site.fleet);
+	gatherers = gatherers_in_fleet(&site.fleet);
 	assert_int_equal(gatherers->len, 0);
 	site_end(&site);
 }
@@ -159,10 +159,10 @@
 	(void)state;
 	site_start(&site);
 	fill(&site, 400, 0);
-	before = gatherers_of_all(&site.fleet);
+	before = gatherers_in_fleet(&site.fleet);
 	add(&site, "a1", 120, 20);
 	g_ptr_array_remove_index(site.vms, 17);
-	after = gatherers_of_all(&site.fleet);
+	after = gatherers_in_fleet(&site.fleet);
 	for (guint i = 0; i < after->len; i++)
 		same += vm_find(before, ((vm_t *)g_ptr_array_index(after, i))->name) != NULL;
 	assert_true(same + 2 >= before->len);
@@ -282,7 +282,7 @@
 	(void)state;
 	site_start(&site);
 	fill(&site, 3000, 4);
-	gatherers = gatherers_of_all(&site.fleet);
+	gatherers = gatherers_in_fleet(&site.fleet);
 	for (guint i = 0; i < gatherers->len; i++)
 		connections += taken_by(&site, g_ptr_array_index(gatherers, i), routing, "shard")
 				       .connections;
