--- a/src/core/handover.c
+++ b/src/core/handover.c
@@ -4,17 +4,21 @@
  */
 #include "core/handover.h"
 
-/* A gatherer that did not take a request is not asked again for so long: the news, the searchers or
- * the turn of its loop that it lacks come within some tenths of a second. */
-#define AVOID_US 200000
-/* The gatherer ends a gather at its deadline, and its word takes a round trip and a turn. */
-#define DELIVERY_US 20000
-/* A timer that fires so late says that this VM stood still: what was said meanwhile is unread. */
-#define LATE_US 50000
-/* Sub-requests a shard that a gatherer may send before it is known to have the request. */
-#define FIRST_ATTEMPTS 1
-/* With fewer allowed, a gatherer's own second tries are worth more than another gatherer's. */
-#define KEEP_ONE_FROM 3
+/* Time for which a gatherer that rejected a request gets no others. What it lacks (a configuration
+ * update, the searchers, an iteration of its event loop) arrives within a few tenths of a second.
+ */
+#define AVOID_REJECTED_US 200000
+/* A gatherer ends a gather at its deadline; its message takes a round trip and one event loop
+ * iteration more. */
+#define FINAL_ANSWER_MARGIN_US 20000
+/* A timer that fires this late means that this VM was suspended: messages that arrived meanwhile
+ * are unread. */
+#define LATE_TIMER_US 50000
+/* Sub-requests per shard that a gatherer may send before it is known to have the request. */
+#define INITIAL_ATTEMPTS 1
+/* From this number of attempts on, one is reserved for another gatherer. With fewer, retries by the
+ * first gatherer are worth more. */
+#define RESERVE_ONE_FROM 3
 
 struct handovers_t {
 	const handover_ops_t *ops;
@@ -22,7 +26,7 @@
 	GPtrArray *gatherers; /* gatherer_t */
 	GHashTable *open;     /* serial to handover_t */
 	uint64_t last_serial;
-	uint64_t version; /* the latest that a gatherer has gathered by */
+	uint64_t version; /* latest configuration version that a gatherer has used */
 	timers_t timers;
 	handover_counters_t counters;
 };
@@ -97,11 +101,12 @@
 	g_hash_table_remove(all->open, &handover->serial);
 	if (handover->gatherer)
 		handover->gatherer->outstanding--;
-	g_ptr_array_unref(handover->asked);
+	g_ptr_array_unref(handover->tried);
 	g_free(handover);
 }
 
-/* A gatherer of this data centre first; of those the one with the least of ours. */
+/* Prefers a gatherer of this data centre, then the one with the fewest outstanding requests of this
+ * VM. */
 static bool is_better(const gatherer_t *gatherer, const gatherer_t *than)
 {
 	if (!than)
@@ -111,7 +116,7 @@
 	return gatherer->outstanding < than->outstanding;
 }
 
-static gatherer_t *choose(const handovers_t *all, const GPtrArray *asked, uint64_t now_us)
+static gatherer_t *choose(const handovers_t *all, const GPtrArray *tried, uint64_t now_us)
 {
 	gatherer_t *best = NULL;
 
@@ -119,7 +124,7 @@
 		gatherer_t *gatherer = g_ptr_array_index(all->gatherers, i);
 
 		if (!gatherer_is_available(gatherer, now_us) ||
-		    (asked && g_ptr_array_find((GPtrArray *)asked, gatherer, NULL)))
+		    (tried && g_ptr_array_find((GPtrArray *)tried, gatherer, NULL)))
 			continue;
 		if (is_better(gatherer, best))
 			best = gatherer;
@@ -129,37 +134,37 @@
 
 static void arm(handover_t *handover, uint64_t now_us)
 {
-	uint64_t next_us = handover->terms.deadline_us + DELIVERY_US;
-	uint64_t wait_us = gatherer_timeout_us(handover->gatherer, handover->terms.target_us);
+	uint64_t next_us = handover->limits.deadline_us + FINAL_ANSWER_MARGIN_US;
+	uint64_t wait_us = gatherer_timeout_us(handover->gatherer, handover->limits.target_us);
 
-	if (!handover->taken)
+	if (!handover->accepted)
 		next_us = MIN(next_us, now_us + wait_us);
 	timers_set(&handover->all->timers, &handover->timer, next_us);
 }
 
-static void hand_to(handover_t *handover, gatherer_t *gatherer, uint64_t now_us)
+static void send_to_gatherer(handover_t *handover, gatherer_t *gatherer, uint64_t now_us)
 {
 	handovers_t *all = handover->all;
 
 	handover->gatherer = gatherer;
-	handover->taken = false;
-	handover->attempts_left -= FIRST_ATTEMPTS;
+	handover->accepted = false;
+	handover->attempts_left -= INITIAL_ATTEMPTS;
 	handover->sent_us = now_us;
 	gatherer->outstanding++;
-	g_ptr_array_add(handover->asked, gatherer_ref(gatherer));
-	all->counters.again += handover->unknown;
+	g_ptr_array_add(handover->tried, gatherer_ref(gatherer));
+	all->counters.retried += handover->outcome_unknown;
 	arm(handover, now_us);
 	all->ops->send(all->ctx, handover);
 }
 
-static void take_back(handover_t *handover)
+static void release_gatherer(handover_t *handover)
 {
 	handover->gatherer->outstanding--;
 	handover->gatherer = NULL;
 }
 
-/* The statuses of these ends promise that nothing ran. */
-static bool promises(forward_end_t end)
+/* Whether the status of this end promises the caller that nothing ran. */
+static bool means_not_run(forward_end_t end)
 {
 	int status = forward_end_status(end);
 
@@ -167,66 +172,67 @@
 }
 
 /*
- * What a second gatherer refuses as not run may have run at the first: its caller would be told a
- * promise that does not hold.
+ * The second gatherer may report that nothing ran although the first one ran the request. That
+ * promise to the caller would be false, so it becomes a failure.
  */
 static void finish(handover_t *handover, const hop_answer_t *answer)
 {
 	handovers_t *all = handover->all;
-	hop_answer_t told = *answer;
+	hop_answer_t reported = *answer;
 
-	if (handover->unknown && promises(told.end))
-		told = (hop_answer_t){.end = FORWARD_FAILED};
+	if (handover->outcome_unknown && means_not_run(reported.end))
+		reported = (hop_answer_t){.end = FORWARD_FAILED};
 	all->counters.answered++;
-	all->counters.lost += told.end == FORWARD_FAILED || told.end == FORWARD_TIMEOUT;
-	all->ops->answer(all->ctx, handover, &told);
+	all->counters.outcome_unknown +=
+		reported.end == FORWARD_FAILED || reported.end == FORWARD_TIMEOUT;
+	all->ops->answer(all->ctx, handover, &reported);
 	handover_free(handover);
 }
 
-static void finish_lost(handover_t *handover, forward_end_t end)
+static void finish_with(handover_t *handover, forward_end_t end)
 {
 	finish(handover, &(hop_answer_t){.end = end});
 }
 
-/* To another gatherer, or here, or to its end. */
-static void go_on(handover_t *handover, uint64_t now_us)
+/* Continues with another gatherer, on this VM, or ends the hand-over. */
+static void retry_or_finish(handover_t *handover, uint64_t now_us)
 {
 	handovers_t *all = handover->all;
-	gatherer_t *gatherer = choose(all, handover->asked, now_us);
+	gatherer_t *gatherer = choose(all, handover->tried, now_us);
 
-	if (handover->attempts_left < FIRST_ATTEMPTS) {
-		finish_lost(handover, FORWARD_FAILED);
+	if (handover->attempts_left < INITIAL_ATTEMPTS) {
+		finish_with(handover, FORWARD_FAILED);
 	} else if (gatherer) {
-		hand_to(handover, gatherer, now_us);
-	} else if (handover->unknown) {
-		finish_lost(handover, FORWARD_FAILED);
+		send_to_gatherer(handover, gatherer, now_us);
+	} else if (handover->outcome_unknown) {
+		finish_with(handover, FORWARD_FAILED);
 	} else {
-		all->counters.here++;
+		all->counters.gathered_here++;
 		all->ops->gather_here(all->ctx, handover);
 		handover_free(handover);
 	}
 }
 
-handover_t *handover_begin(handovers_t *all, const handover_terms_t *terms, void *owner,
+handover_t *handover_begin(handovers_t *all, const handover_limits_t *limits, void *owner,
 			   uint64_t now_us)
 {
 	gatherer_t *gatherer = choose(all, NULL, now_us);
 	handover_t *handover;
 
-	if (!gatherer || terms->attempts_most < FIRST_ATTEMPTS)
+	if (!gatherer || limits->attempts_max < INITIAL_ATTEMPTS)
 		return NULL;
 	handover = g_new0(handover_t, 1);
 	handover->all = all;
 	handover->serial = ++all->last_serial;
-	handover->terms = *terms;
-	handover->attempts_left = terms->attempts_most;
+	handover->limits = *limits;
+	handover->attempts_left = limits->attempts_max;
 	handover->owner = owner;
 	handover->begun_us = now_us;
-	handover->asked = g_ptr_array_new_with_free_func((GDestroyNotify)gatherer_unref);
+	handover->tried = g_ptr_array_new_with_free_func((GDestroyNotify)gatherer_unref);
 	handover->timer = (timer_entry_t){.fire = on_timer, .ctx = handover};
 	g_hash_table_insert(all->open, &handover->serial, handover);
 	all->counters.begun++;
-	hand_to(handover, gatherer, now_us);
+	send_to_gatherer(handover, gatherer, now_us);
 	return handover;
 }
 
@@ -239,102 +245,103 @@
 }
 
 /*
- * A gatherer that is frozen, cut off or gone says nothing, and its connection stays open: its
- * callers would wait to their deadline. Another is asked while an answer in time is possible. Sound
- * because the silent one has sent one sub-request a shard at most, and reads of the cancelling
- * right behind the request if it did not read that either.
+ * A gatherer that is frozen, unreachable or gone does not reply, while its connection stays open:
+ * callers would wait until their deadline. So the request goes to another gatherer while an answer
+ * in time is still possible. This is safe because the unresponsive gatherer has sent at most one
+ * sub-request per shard; if it has not read the request yet either, it reads the cancellation right
+ * behind it.
  */
-static void note_silent(handover_t *handover, uint64_t now_us)
+static void handle_unresponsive(handover_t *handover, uint64_t now_us)
 {
 	handovers_t *all = handover->all;
 
-	all->counters.silent++;
-	all->ops->silent(all->ctx, handover, now_us - handover->sent_us);
+	all->counters.unresponsive++;
+	all->ops->unresponsive(all->ctx, handover, now_us - handover->sent_us);
 	if (handover->gatherer->state == GATHERER_READY)
 		handover->gatherer->state = GATHERER_UNRESPONSIVE;
 	all->ops->cancel(all->ctx, handover);
-	handover->unknown = true;
-	take_back(handover);
-	go_on(handover, now_us);
+	handover->outcome_unknown = true;
+	release_gatherer(handover);
+	retry_or_finish(handover, now_us);
 }
 
 static void on_timer(void *ctx, uint64_t now_us)
 {
 	handover_t *handover = ctx;
 
-	if (now_us >= handover->terms.deadline_us + DELIVERY_US) {
+	if (now_us >= handover->limits.deadline_us + FINAL_ANSWER_MARGIN_US) {
 		handover->all->ops->cancel(handover->all->ctx, handover);
-		finish_lost(handover, FORWARD_TIMEOUT);
-	} else if (now_us > handover->timer.at_us + LATE_US) {
+		finish_with(handover, FORWARD_TIMEOUT);
+	} else if (now_us > handover->timer.at_us + LATE_TIMER_US) {
 		arm(handover, now_us);
 	} else {
-		note_silent(handover, now_us);
+		handle_unresponsive(handover, now_us);
 	}
 }
 
-/* ---- what gatherers say ---- */
+/* ---- messages from gatherers ---- */
 
 /*
- * Gatherers learn of a change one after the other. A caller that was answered by the new version
- * must not be answered by the old one afterwards: from here on no gatherer that is behind takes a
- * request.
+ * Gatherers receive a configuration change one after the other. A caller that was answered by the
+ * new version must not be answered by the old one afterwards, so from now on no gatherer with an
+ * older version accepts a request.
  */
-static void note_version(handovers_t *all, uint64_t version)
+static void record_version(handovers_t *all, uint64_t version)
 {
 	if (version <= all->version)
 		return;
 	all->version = version;
-	all->ops->newer(all->ctx, version);
+	all->ops->newer_version(all->ctx, version);
 }
 
-static void on_taken(handover_t *handover, uint64_t now_us)
+static void on_accepted(handover_t *handover, uint64_t now_us)
 {
 	handovers_t *all = handover->all;
-	uint32_t kept = handover->terms.attempts_most >= KEEP_ONE_FROM;
-	uint32_t more = handover->attempts_left > kept ? handover->attempts_left - kept : 0;
+	uint32_t reserved = handover->limits.attempts_max >= RESERVE_ONE_FROM;
+	uint32_t more = handover->attempts_left > reserved ? handover->attempts_left - reserved : 0;
 
-	if (handover->taken)
+	if (handover->accepted)
 		return;
-	handover->taken = true;
+	handover->accepted = true;
 	quantile_add(&handover->gatherer->accept_latency, now_us - handover->sent_us);
 	arm(handover, now_us);
 	if (!more)
 		return;
 	handover->attempts_left -= more;
-	all->ops->go(all->ctx, handover, more);
+	all->ops->grant(all->ctx, handover, more);
 }
 
-static void on_not_taken(handover_t *handover, hop_reason_t reason, uint64_t now_us)
+static void on_rejected(handover_t *handover, hop_reason_t reason, uint64_t now_us)
 {
 	handovers_t *all = handover->all;
 
-	all->counters.not_taken[reason]++;
-	all->ops->not_taken(all->ctx, handover, reason);
-	handover->attempts_left += FIRST_ATTEMPTS;
-	if (reason == HOP_STOPS)
+	all->counters.rejected[reason]++;
+	all->ops->rejected(all->ctx, handover, reason);
+	handover->attempts_left += INITIAL_ATTEMPTS;
+	if (reason == HOP_STOPPING)
 		handover->gatherer->state = GATHERER_LEAVING;
-	else if (reason != HOP_NO_GATHER)
-		handover->gatherer->avoid_until_us = now_us + AVOID_US;
-	take_back(handover);
-	go_on(handover, now_us);
+	else if (reason != HOP_NOT_GATHERED)
+		handover->gatherer->avoid_until_us = now_us + AVOID_REJECTED_US;
+	release_gatherer(handover);
+	retry_or_finish(handover, now_us);
 }
 
-/* One that was taken for silent had the answer ready when it heard that nobody waits: it is as good
- * as the other's, and there. */
+/* A gatherer that counted as unresponsive had the answer ready when it read the cancellation. That
+ * answer is as good as the current gatherer's, and available now. */
 static void on_late_answer(handover_t *handover, gatherer_t *gatherer, const hop_answer_t *answer)
 {
 	handovers_t *all = handover->all;
 
-	if (answer->end != FORWARD_ANSWERED || !g_ptr_array_find(handover->asked, gatherer, NULL))
+	if (answer->end != FORWARD_ANSWERED || !g_ptr_array_find(handover->tried, gatherer, NULL))
 		return;
 	all->ops->cancel(all->ctx, handover);
-	take_back(handover);
+	release_gatherer(handover);
 	handover->gatherer = gatherer;
 	gatherer->outstanding++;
 	finish(handover, answer);
 }
 
-static void note_heard(gatherer_t *gatherer, hop_type_t type)
+static void update_state(gatherer_t *gatherer, hop_type_t type)
 {
 	if (type == HOP_LEAVING)
 		gatherer->state = GATHERER_LEAVING;
@@ -342,14 +349,14 @@
 		gatherer->state = GATHERER_READY;
 }
 
-void handovers_heard(handovers_t *all, gatherer_t *gatherer, const hop_message_t *message,
-		     uint64_t now_us)
+void handovers_receive(handovers_t *all, gatherer_t *gatherer, const hop_message_t *message,
+		       uint64_t now_us)
 {
 	handover_t *handover = g_hash_table_lookup(all->open, &message->serial);
 
-	note_heard(gatherer, message->type);
-	if (message->type == HOP_TAKEN)
-		note_version(all, message->version);
+	update_state(gatherer, message->type);
+	if (message->type == HOP_ACCEPTED)
+		record_version(all, message->version);
 	if (!handover) /* it has ended */
 		return;
 	if (handover->gatherer != gatherer) {
@@ -357,15 +364,15 @@
 			on_late_answer(handover, gatherer, &message->answer);
 		return;
 	}
-	if (message->type == HOP_TAKEN)
-		on_taken(handover, now_us);
-	else if (message->type == HOP_NOT_TAKEN && !handover->taken)
-		on_not_taken(handover, message->reason, now_us);
+	if (message->type == HOP_ACCEPTED)
+		on_accepted(handover, now_us);
+	else if (message->type == HOP_REJECTED && !handover->accepted)
+		on_rejected(handover, message->reason, now_us);
 	else if (message->type == HOP_ANSWER)
 		finish(handover, &message->answer);
 }
 
-void handovers_lost(handovers_t *all, gatherer_t *gatherer, uint64_t now_us)
+void handovers_connection_lost(handovers_t *all, gatherer_t *gatherer, uint64_t now_us)
 {
 	g_autoptr(GList) open = g_hash_table_get_values(all->open);
 
@@ -375,9 +382,9 @@
 
 		if (handover->gatherer != gatherer)
 			continue;
-		handover->unknown = true;
-		take_back(handover);
-		go_on(handover, now_us);
+		handover->outcome_unknown = true;
+		release_gatherer(handover);
+		retry_or_finish(handover, now_us);
 	}
 }
 
--- a/src/core/hop_message.c
+++ b/src/core/hop_message.c
@@ -6,7 +6,7 @@
 
 #include "core/msgpack_array.h"
 
-/* Of every message: its type and the request's serial number. */
+/* In every message: its type and the request's serial number. */
 #define HEAD_FIELDS 2
 #define REQUEST_FIELDS 9
 #define ANSWER_FIELDS 6
@@ -22,7 +22,7 @@
 	msgpack_pack_uint64(packer, request->version);
 	msgpack_pack_uint64(packer, request->elapsed_us);
 	msgpack_pack_uint64(packer, request->patience_us);
-	msgpack_pack_uint8(packer, request->again);
+	msgpack_pack_uint8(packer, request->retried);
 	pack_bytes(packer, request->id);
 	pack_bytes(packer, request->host);
 	pack_bytes(packer, request->target);
@@ -42,13 +42,13 @@
 
 static size_t fields_of(hop_type_t type)
 {
-	static const uint8_t more[HOP_TYPES] = {[HOP_REQUEST] = REQUEST_FIELDS,
-						[HOP_ANSWER] = ANSWER_FIELDS,
-						[HOP_TAKEN] = 1,
-						[HOP_NOT_TAKEN] = 1,
-						[HOP_GO] = 1};
+	static const uint8_t extra[HOP_TYPES] = {[HOP_REQUEST] = REQUEST_FIELDS,
+						 [HOP_ANSWER] = ANSWER_FIELDS,
+						 [HOP_ACCEPTED] = 1,
+						 [HOP_REJECTED] = 1,
+						 [HOP_GRANT] = 1};
 
-	return HEAD_FIELDS + more[type];
+	return HEAD_FIELDS + extra[type];
 }
 
 void hop_message_write(GByteArray *out, const hop_message_t *message)
@@ -65,11 +65,11 @@
 		pack_request(&packer, &message->request);
 	else if (message->type == HOP_ANSWER)
 		pack_answer(&packer, &message->answer);
-	else if (message->type == HOP_NOT_TAKEN)
+	else if (message->type == HOP_REJECTED)
 		msgpack_pack_uint8(&packer, (uint8_t)message->reason);
-	else if (message->type == HOP_GO)
-		msgpack_pack_uint32(&packer, message->more);
-	else if (message->type == HOP_TAKEN)
+	else if (message->type == HOP_GRANT)
+		msgpack_pack_uint32(&packer, message->more_attempts);
+	else if (message->type == HOP_ACCEPTED)
 		msgpack_pack_uint64(&packer, message->version);
 	framing_append(out, buffer.data, buffer.size);
 	msgpack_sbuffer_destroy(&buffer);
@@ -77,124 +77,127 @@
 
 /* ---- reading ---- */
 
-/** The fields of a message, taken one after the other. */
+/** The fields of a message, read one after the other. */
 typedef struct fields_t {
 	const msgpack_object *next;
-	bool right; /* all so far were of the kind that was asked for */
+	bool valid; /* all fields so far had the expected type */
 } fields_t;
 
-static uint64_t take_number(fields_t *fields, uint64_t most)
+static uint64_t decode_number(fields_t *fields, uint64_t max)
 {
 	const msgpack_object *field = fields->next++;
 
-	if (field->type != MSGPACK_OBJECT_POSITIVE_INTEGER || field->via.u64 > most) {
-		fields->right = false;
+	if (field->type != MSGPACK_OBJECT_POSITIVE_INTEGER || field->via.u64 > max) {
+		fields->valid = false;
 		return 0;
 	}
 	return field->via.u64;
 }
 
-static hop_bytes_t take_bytes(fields_t *fields)
+static hop_bytes_t decode_bytes(fields_t *fields)
 {
 	const msgpack_object *field = fields->next++;
 
 	if (field->type != MSGPACK_OBJECT_BIN) {
-		fields->right = false;
+		fields->valid = false;
 		return (hop_bytes_t){0};
 	}
 	return (hop_bytes_t){.data = field->via.bin.ptr, .bytes = field->via.bin.size};
 }
 
-static void take_request(fields_t *fields, hop_request_t *request)
+static void decode_request(fields_t *fields, hop_request_t *request)
 {
-	request->version = take_number(fields, UINT64_MAX);
-	request->elapsed_us = take_number(fields, UINT64_MAX);
-	request->patience_us = take_number(fields, UINT64_MAX);
-	request->again = take_number(fields, 1);
-	request->id = take_bytes(fields);
-	request->host = take_bytes(fields);
-	request->target = take_bytes(fields);
-	request->head = take_bytes(fields);
-	request->body = take_bytes(fields);
+	request->version = decode_number(fields, UINT64_MAX);
+	request->elapsed_us = decode_number(fields, UINT64_MAX);
+	request->patience_us = decode_number(fields, UINT64_MAX);
+	request->retried = decode_number(fields, 1);
+	request->id = decode_bytes(fields);
+	request->host = decode_bytes(fields);
+	request->target = decode_bytes(fields);
+	request->head = decode_bytes(fields);
+	request->body = decode_bytes(fields);
 }
 
-static void take_answer(fields_t *fields, hop_answer_t *answer)
+static void decode_answer(fields_t *fields, hop_answer_t *answer)
 {
-	answer->end = (forward_end_t)take_number(fields, FORWARD_ENDS - 1);
-	answer->parts = (uint32_t)take_number(fields, UINT32_MAX);
-	answer->missing = (uint32_t)take_number(fields, UINT32_MAX);
-	answer->retry_after_us = take_number(fields, UINT64_MAX);
-	answer->stamps = take_bytes(fields);
-	answer->records = take_bytes(fields);
+	answer->end = (forward_end_t)decode_number(fields, FORWARD_ENDS - 1);
+	answer->parts = (uint32_t)decode_number(fields, UINT32_MAX);
+	answer->missing = (uint32_t)decode_number(fields, UINT32_MAX);
+	answer->retry_after_us = decode_number(fields, UINT64_MAX);
+	answer->stamps = decode_bytes(fields);
+	answer->records = decode_bytes(fields);
 }
 
-/* What a reason that is not known means is the same: nothing ran. */
-static hop_reason_t take_reason(fields_t *fields)
+/* An unknown reason also means that nothing ran. */
+static hop_reason_t decode_reason(fields_t *fields)
 {
-	uint64_t reason = take_number(fields, UINT8_MAX);
+	uint64_t reason = decode_number(fields, UINT8_MAX);
 
 	return reason < HOP_REASONS ? (hop_reason_t)reason : HOP_NOT_READY;
 }
 
-/* False when the array is no message. One of a type that is not known is passed over. */
-static bool take_array(const msgpack_object_array *array, hop_message_f take, void *ctx)
+/* Returns false when the array is not a valid message. A message of an unknown type is ignored. */
+static bool decode_message(const msgpack_object_array *array, hop_message_handler_t handler,
+			   void *ctx)
 {
-	fields_t fields = {.next = array->ptr, .right = true};
+	fields_t fields = {.next = array->ptr, .valid = true};
 	hop_message_t message = {0};
 	uint64_t type;
 
 	if (array->size < HEAD_FIELDS)
 		return false;
-	type = take_number(&fields, UINT8_MAX);
-	message.serial = take_number(&fields, UINT64_MAX);
-	if (fields.right && type >= HOP_TYPES)
+	type = decode_number(&fields, UINT8_MAX);
+	message.serial = decode_number(&fields, UINT64_MAX);
+	if (fields.valid && type >= HOP_TYPES)
 		return true;
 	message.type = (hop_type_t)type;
-	if (!fields.right || array->size < fields_of(message.type))
+	if (!fields.valid || array->size < fields_of(message.type))
 		return false;
 	if (type == HOP_REQUEST)
-		take_request(&fields, &message.request);
+		decode_request(&fields, &message.request);
 	else if (type == HOP_ANSWER)
-		take_answer(&fields, &message.answer);
-	else if (type == HOP_NOT_TAKEN)
-		message.reason = take_reason(&fields);
-	else if (type == HOP_GO)
-		message.more = (uint32_t)take_number(&fields, UINT32_MAX);
-	else if (type == HOP_TAKEN)
-		message.version = take_number(&fields, UINT64_MAX);
-	if (fields.right)
-		take(ctx, &message);
-	return fields.right;
+		decode_answer(&fields, &message.answer);
+	else if (type == HOP_REJECTED)
+		message.reason = decode_reason(&fields);
+	else if (type == HOP_GRANT)
+		message.more_attempts = (uint32_t)decode_number(&fields, UINT32_MAX);
+	else if (type == HOP_ACCEPTED)
+		message.version = decode_number(&fields, UINT64_MAX);
+	if (fields.valid)
+		handler(ctx, &message);
+	return fields.valid;
 }
 
-static bool take_payload(framing_payload_t payload, hop_message_f take, void *ctx)
+static bool decode_payload(framing_payload_t payload, hop_message_handler_t handler, void *ctx)
 {
 	msgpack_unpacked unpacked;
 	const msgpack_object_array *array = msgpack_array_read(&unpacked, payload);
-	bool taken = array && take_array(array, take, ctx);
+	bool decoded = array && decode_message(array, handler, ctx);
 
 	msgpack_unpacked_destroy(&unpacked);
-	return taken;
+	return decoded;
 }
 
-framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used, hop_message_f take,
-			   void *ctx)
+framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
+			   hop_message_handler_t handler, void *ctx)
 {
 	framing_payload_t payload;
-	framing_t found = framing_split(data, bytes, HOP_FRAME_MOST_BYTES, &payload);
+	framing_t found = framing_split(data, bytes, HOP_FRAME_MAX_BYTES, &payload);
 
 	if (found != FRAMING_ONE)
 		return found;
 	*used = FRAMING_LENGTH_BYTES + payload.bytes;
-	return take_payload(payload, take, ctx) ? FRAMING_ONE : FRAMING_BAD;
+	return decode_payload(payload, handler, ctx) ? FRAMING_ONE : FRAMING_BAD;
 }
 
 const char *hop_reason_name(hop_reason_t reason)
 {
-	static const char *const names[] = {
-		[HOP_NOT_READY] = "not-ready", [HOP_OLDER] = "older-configuration",
-		[HOP_NO_GATHER] = "no-gather", [HOP_STOPS] = "stops",
-		[HOP_BUSY] = "busy",	       [HOP_STOOD_STILL] = "stood-still"};
+	static const char *const names[] = {[HOP_NOT_READY] = "not-ready",
+					    [HOP_OLDER_CONFIG] = "older-configuration",
+					    [HOP_NOT_GATHERED] = "no-gather",
+					    [HOP_STOPPING] = "stops",
+					    [HOP_BUSY] = "busy",
+					    [HOP_SUSPENDED] = "stood-still"};
 
 	return names[reason];
 }
--- a/src/core/hop_message.h
+++ b/src/core/hop_message.h
@@ -1,18 +1,19 @@
 /**
  * @file hop_message.h
- * What a VM that takes requests and one that gathers for it say to each other: a length and a
- * msgpack array, many requests on one connection, in any order.
+ * Messages between a taker, the VM that received a request from its caller, and a VM that gathers
+ * for it. A message is a length and a msgpack array; one connection carries many requests, in any
+ * order.
  *
- *     taker     HOP_REQUEST  gather this; at first one sub-request a shard
- *     gatherer  HOP_TAKEN    it is under way, by this version of the configuration
- *     taker     HOP_GO       as many more sub-requests a shard, if they are of use
- *     gatherer  HOP_ANSWER   the end of it
+ *     taker     HOP_REQUEST   gather this request; at first one sub-request per shard
+ *     gatherer  HOP_ACCEPTED  started, with this version of the configuration
+ *     taker     HOP_GRANT     additional sub-requests per shard, to use if needed
+ *     gatherer  HOP_ANSWER    the outcome
  *
- * Instead of taking a request a gatherer says HOP_NOT_TAKEN: nothing of it ran. The taker says
- * HOP_CANCEL when nobody waits any more.
+ * Instead of accepting a request a gatherer replies HOP_REJECTED: nothing of it ran. The taker
+ * sends HOP_CANCEL when the answer is no longer needed.
  *
- * Versions of the product understand each other: a message of an unknown type is passed over, as
- * are fields beyond those that are known.
+ * Different versions of the product are compatible: a message of an unknown type is ignored, and so
+ * are fields beyond the known ones.
  */
 #ifndef DS_HOP_MESSAGE_H
 #define DS_HOP_MESSAGE_H
@@ -21,33 +22,35 @@
 #include "core/framing.h"
 
 /* A caller's body and headers, or a merged answer, are a few hundred KB at most. */
-#define HOP_FRAME_MOST_BYTES (4u << 20)
+#define HOP_FRAME_MAX_BYTES (4u << 20)
 
 typedef enum hop_type_t {
 	HOP_PING, /**< answered by HOP_PONG as soon as it is read */
 	HOP_PONG,
 	HOP_REQUEST,
-	HOP_TAKEN,
-	HOP_NOT_TAKEN,
-	HOP_GO,
+	HOP_ACCEPTED,
+	HOP_REJECTED,
+	HOP_GRANT,
 	HOP_CANCEL,
 	HOP_ANSWER,
-	HOP_LEAVING, /**< the gatherer stops: nothing new; what it has it finishes */
+	HOP_LEAVING, /**< the gatherer is about to stop: it accepts no new requests and finishes
+		      * those it has */
 	HOP_TYPES,
 } hop_type_t;
 
-/** Why a gatherer does not take a request. */
+/** Why a gatherer rejects a request. */
 typedef enum hop_reason_t {
-	HOP_NOT_READY,	 /**< it does not know the configuration or the searchers yet */
-	HOP_OLDER,	 /**< its configuration is older than the one that the request came under */
-	HOP_NO_GATHER,	 /**< by its configuration the request is no gather */
-	HOP_STOPS,	 /**< it is about to end */
-	HOP_BUSY,	 /**< it is behind with what it has */
-	HOP_STOOD_STILL, /**< it was suspended, and can't say how old the request is */
+	HOP_NOT_READY,	  /**< it does not have the configuration or the searchers yet */
+	HOP_OLDER_CONFIG, /**< its configuration is older than the one that routed the
+			   * request */
+	HOP_NOT_GATHERED, /**< its configuration does not route the request as a gather */
+	HOP_STOPPING,	  /**< it is about to stop */
+	HOP_BUSY,	  /**< it is overloaded with the requests it has */
+	HOP_SUSPENDED,	  /**< it was suspended and cannot tell how old the request is */
 	HOP_REASONS,
 } hop_reason_t;
 
-/** Bytes that are borrowed. */
+/** Borrowed bytes. */
 typedef struct hop_bytes_t {
 	const char *data;
 	size_t bytes;
@@ -55,46 +58,47 @@
 
 /** A request that is handed over. */
 typedef struct hop_request_t {
-	uint64_t version;     /**< of the configuration that it was routed by */
-	uint64_t elapsed_us;  /**< since its first byte came from the caller, with the way here */
-	uint64_t patience_us; /**< how long the caller waits in all; 0: it did not say */
-	bool again;	      /**< another gatherer may have sent sub-requests of it */
-	hop_bytes_t id;	      /**< the caller's */
+	uint64_t version;     /**< version of the configuration that routed it */
+	uint64_t elapsed_us;  /**< since the caller's first byte arrived, including the network
+			       * delay to the gatherer */
+	uint64_t patience_us; /**< how long the caller waits in total; 0: not given */
+	bool retried;	      /**< another gatherer may have sent sub-requests of it */
+	hop_bytes_t id;	      /**< the caller's request ID */
 	hop_bytes_t host;
 	hop_bytes_t target;
-	hop_bytes_t head; /**< what goes to every searcher: request line and headers */
+	hop_bytes_t head; /**< sent to every searcher: request line and headers */
 	hop_bytes_t body;
 } hop_request_t;
 
-/** The end of a gather. */
+/** The outcome of a gather. */
 typedef struct hop_answer_t {
 	forward_end_t end;
 	uint32_t parts, missing;
-	uint64_t retry_after_us; /**< not run: when to come back */
+	uint64_t retry_after_us; /**< if nothing ran: when the caller should retry */
 	hop_bytes_t stamps;
 	hop_bytes_t records;
 } hop_answer_t;
 
-/** One message; which fields hold is said by its type. */
+/** One message; its type determines which fields are valid. */
 typedef struct hop_message_t {
 	hop_type_t type;
-	uint64_t serial; /**< of the request, on its connection */
+	uint64_t serial; /**< serial number of the request on its connection */
 	hop_request_t request;
 	hop_answer_t answer;
 	hop_reason_t reason;
-	uint32_t more;	  /**< HOP_GO: sub-requests a shard beyond the first */
-	uint64_t version; /**< HOP_TAKEN: of the configuration that it is gathered by */
+	uint32_t more_attempts; /**< HOP_GRANT: additional sub-requests per shard */
+	uint64_t version; /**< HOP_ACCEPTED: version of the configuration that the gatherer uses */
 } hop_message_t;
 
-/** Append @p message, with its length before it. */
+/** Appends @p message, preceded by its length. */
 void hop_message_write(GByteArray *out, const hop_message_t *message);
 
-/** Called with a whole message; it borrows from the bytes that were read. */
-typedef void (*hop_message_f)(void *ctx, const hop_message_t *message);
+/** Called with a complete message, which borrows from the bytes that were read. */
+typedef void (*hop_message_handler_t)(void *ctx, const hop_message_t *message);
 
-/** Read the first message of @p data; @p used is set when there is one. */
-framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used, hop_message_f take,
-			   void *ctx);
+/** Reads the first message of @p data; @p used is set when it is complete. */
+framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
+			   hop_message_handler_t handler, void *ctx);
 const char *hop_reason_name(hop_reason_t reason);
 
 #endif
--- a/src/core/msgpack_array.c
+++ b/src/core/msgpack_array.c
@@ -12,7 +12,8 @@
 	size_t offset = 0;
 
 	msgpack_unpacked_init(unpacked);
-	/* A length inside that promises more than there is would make the library allocate it. */
+	/* A length inside that means_not_run more than there is would make the library allocate it.
+	 */
 	if (!msgpack_sizes_fit((const uint8_t *)payload.data, payload.bytes))
 		return NULL;
 	if (msgpack_unpack_next(unpacked, payload.data, payload.bytes, &offset) !=
--- a/src/queries/front_log.c
+++ b/src/queries/front_log.c
@@ -97,8 +97,8 @@
 		request->id ? request->id : "", forward_end_name(answer->end),
 		forward_end_status(answer->end), now_us - request->received_us,
 		request->patience_us, answer->parts, answer->missing,
-		handover->gatherer ? handover->gatherer->vm->name : "nobody", handover->asked->len,
-		handover->taken, now_us - handover->begun_us, store_age_us);
+		handover->gatherer ? handover->gatherer->vm->name : "nobody", handover->tried->len,
+		handover->accepted, now_us - handover->begun_us, store_age_us);
 	append_fingerprint(line, request->fingerprint);
 	g_log(NULL, whole ? G_LOG_LEVEL_INFO : G_LOG_LEVEL_MESSAGE, "%s", line->str);
 }
--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -148,13 +148,13 @@
 	put_gatherers(out, handovers);
 	put(out, "handovers_total", NULL, NULL, counters->begun);
 	put(out, "handover_ends_total", "outcome", "answered", counters->answered);
-	put(out, "handover_ends_total", "outcome", "gathered-here", counters->here);
-	put(out, "handover_ends_unknown_total", NULL, NULL, counters->lost);
-	put(out, "handovers_again_total", NULL, NULL, counters->again);
-	put(out, "gatherers_silent_total", NULL, NULL, counters->silent);
+	put(out, "handover_ends_total", "outcome", "gathered-here", counters->gathered_here);
+	put(out, "handover_ends_unknown_total", NULL, NULL, counters->outcome_unknown);
+	put(out, "handovers_again_total", NULL, NULL, counters->retried);
+	put(out, "gatherers_silent_total", NULL, NULL, counters->unresponsive);
 	for (int reason = 0; reason < HOP_REASONS; reason++)
 		put(out, "handovers_not_taken_total", "reason",
-		    hop_reason_name((hop_reason_t)reason), counters->not_taken[reason]);
+		    hop_reason_name((hop_reason_t)reason), counters->rejected[reason]);
 	put(out, "gathers_for_others", NULL, NULL, hops_open);
 }
 
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -475,17 +475,17 @@
 		return false;
 	}
 	if (task->refusing) {
-		*reason = HOP_STOPS;
+		*reason = HOP_STOPPING;
 		return false;
 	}
 	if (routing->version < job->version) {
 		supply_task_read_configuration(task->supply);
-		*reason = HOP_OLDER;
+		*reason = HOP_OLDER_CONFIG;
 		return false;
 	}
 	route = routing_match(routing, job->host, job->target);
 	if (!route || !route->gathers || !route_allows(route, own_region(task))) {
-		*reason = HOP_NO_GATHER;
+		*reason = HOP_NOT_GATHERED;
 		return false;
 	}
 	*reason = HOP_BUSY;
--- a/src/tasks/gather_task.c
+++ b/src/tasks/gather_task.c
@@ -69,14 +69,15 @@
 	message.request.version = MAX(relay->version, handovers_version(task->handovers));
 	message.request.elapsed_us =
 		loop_now_us() - relay->request.received_us + way_us(task, handover->gatherer);
-	message.request.again = handover->unknown;
+	message.request.retried = handover->outcome_unknown;
 	hop_client_write(task->client, handover->gatherer, &message);
 }
 
 static void on_go(void *ctx, handover_t *handover, uint32_t more)
 {
 	gather_task_t *task = ctx;
-	const hop_message_t message = {.type = HOP_GO, .serial = handover->serial, .more = more};
+	const hop_message_t message = {
+		.type = HOP_GRANT, .serial = handover->serial, .more_attempts = more};
 
 	hop_client_write(task->client, handover->gatherer, &message);
 }
@@ -140,13 +141,13 @@
 gather_task_t *gather_task_new(loop_t *loop, vm_t *own, const gather_ops_t *ops, void *ctx)
 {
 	static const handover_ops_t handover_ops = {.send = on_send,
-						    .go = on_go,
+						    .grant = on_go,
 						    .cancel = on_cancel,
-						    .silent = on_silent,
-						    .not_taken = on_not_taken,
+						    .unresponsive = on_silent,
+						    .rejected = on_not_taken,
 						    .answer = on_answer,
 						    .gather_here = on_gather_here,
-						    .newer = on_newer};
+						    .newer_version = on_newer};
 	gather_task_t *task = g_new0(gather_task_t, 1);
 
 	task->loop = loop;
@@ -173,10 +174,10 @@
 			   uint64_t version)
 {
 	uint64_t now_us = loop_now_us();
-	const handover_terms_t terms = {.deadline_us =
-						forward_times(&relay->request, route).deadline_us,
-					.target_us = route->target_us,
-					.attempts_most = route->attempts_most};
+	const handover_limits_t terms = {.deadline_us =
+						 forward_times(&relay->request, route).deadline_us,
+					 .target_us = route->target_us,
+					 .attempts_max = route->attempts_most};
 
 	if (terms.deadline_us <= now_us)
 		return false;
--- a/src/tasks/hop_client.c
+++ b/src/tasks/hop_client.c
@@ -52,7 +52,7 @@
 	g_message("event=gatherer-lost vm=%s state=%s out=%u reason=%s", gatherer->vm->name,
 		  gatherer_state_name(gatherer->state), gatherer->outstanding, reason);
 	link_free(link);
-	handovers_lost(client->handovers, gatherer, loop_now_us());
+	handovers_connection_lost(client->handovers, gatherer, loop_now_us());
 	gatherer_unref(gatherer);
 	client->heard(client->heard_ctx);
 }
@@ -62,7 +62,7 @@
 	hop_link_t *link = ctx;
 	hop_client_t *client = link->client;
 
-	handovers_heard(client->handovers, link->gatherer, message, loop_now_us());
+	handovers_receive(client->handovers, link->gatherer, message, loop_now_us());
 }
 
 static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
--- a/src/tasks/hop_server.c
+++ b/src/tasks/hop_server.c
@@ -56,7 +56,7 @@
 	job->arrived_us = loop_arrival_us(conn->server->loop);
 	job->received_us = job->arrived_us - MIN(request->elapsed_us, job->arrived_us);
 	job->patience_us = request->patience_us;
-	job->again = request->again;
+	job->again = request->retried;
 	job->id = request->id.bytes ? text_of(request->id) : NULL;
 	job->host = text_of(request->host);
 	job->target = text_of(request->target);
@@ -80,7 +80,7 @@
 static void refuse(hop_job_t *job, hop_reason_t reason)
 {
 	const hop_message_t message = {
-		.type = HOP_NOT_TAKEN, .serial = job->serial, .reason = reason};
+		.type = HOP_REJECTED, .serial = job->serial, .reason = reason};
 
 	g_info("event=not-taken request=%s reason=%s", job->id ? job->id : "",
 	       hop_reason_name(reason));
@@ -103,7 +103,7 @@
 		refuse(job, reason);
 		return;
 	}
-	write_to(job->conn, &(hop_message_t){.type = HOP_TAKEN,
+	write_to(job->conn, &(hop_message_t){.type = HOP_ACCEPTED,
 					     .serial = job->serial,
 					     .version = server->ops->version(server->ctx)});
 	server->open++;
@@ -165,9 +165,9 @@
 		if (job)
 			drop_job(job);
 		return;
-	case HOP_GO:
+	case HOP_GRANT:
 		if (job && !g_ptr_array_find(server->unread, job, NULL))
-			server->ops->more(server->ctx, job, message->more);
+			server->ops->more(server->ctx, job, message->more_attempts);
 		return;
 	default:
 		g_info("event=handover-ignored type=%d reason=not-for-gatherers", message->type);
@@ -265,7 +265,7 @@
 void hop_server_stood_still(hop_server_t *server)
 {
 	while (server->unread->len)
-		refuse(g_ptr_array_steal_index(server->unread, 0), HOP_STOOD_STILL);
+		refuse(g_ptr_array_steal_index(server->unread, 0), HOP_SUSPENDED);
 }
 
 uint32_t hop_server_open(const hop_server_t *server)
--- a/tests/front_matrix_test.c
+++ b/tests/front_matrix_test.c
@@ -2,7 +2,7 @@
  * @file front_matrix_test.c
  * The fault matrix of forwarding: every fault at every step of a merged answer, of one that may be
  * repeated and of one that may not, and every pair of faults. Writes docs/FAULTS-FORWARDING.md or
- * compares it. front_world.h checks the promises as answers come.
+ * compares it. front_world.h checks the means_not_run as answers come.
  */
 #include "front_world.h"
 #include "matrix_page.h"
@@ -220,7 +220,7 @@
 	}
 }
 
-/* Returns the outcome; the promises that were broken are printed and counted. */
+/* Returns the outcome; the means_not_run that were broken are printed and counted. */
 static char *play(const kind_t *kind, const fault_t *const pair[2], const step_t *const at[2],
 		  uint32_t *broken)
 {
--- a/tests/front_random_test.c
+++ b/tests/front_random_test.c
@@ -3,7 +3,7 @@
  * Random schedules over forwarding: requests of all routes, callers that leave, and faults of
  * searchers, store, configuration and VM, by seed. Each seed is played once more with routes that
  * must stay in a region, evacuations, cold searchers and a store that comes back from a copy.
- * front_world.h checks the promises.
+ * front_world.h checks the means_not_run.
  *
  *     front_random_test SEEDS [FIRST]
  */
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -42,11 +42,12 @@
 static void on_send(void *ctx, handover_t *handover)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> send %s to=%s again=%d%s\n",
-			       (char *)handover->owner, name_of(handover), handover->unknown,
+			       (char *)handover->owner, name_of(handover),
+			       handover->outcome_unknown,
 			       handovers_version(handover->all) ? " not-by-older" : "");
 }
 
-static void on_go(void *ctx, handover_t *handover, uint32_t more)
+static void on_grant(void *ctx, handover_t *handover, uint32_t more)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> go %s to=%s more=%u\n",
 			       (char *)handover->owner, name_of(handover), more);
@@ -58,13 +59,13 @@
 			       name_of(handover));
 }
 
-static void on_silent(void *ctx, const handover_t *handover, uint64_t after_us)
+static void on_unresponsive(void *ctx, const handover_t *handover, uint64_t after_us)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> silent %s after_ms=%d\n", name_of(handover),
 			       (int)(after_us / 1000));
 }
 
-static void on_not_taken(void *ctx, const handover_t *handover, hop_reason_t reason)
+static void on_rejected(void *ctx, const handover_t *handover, hop_reason_t reason)
 {
 	(void)ctx;
 	(void)handover;
@@ -89,7 +90,7 @@
 	g_hash_table_remove(play->open, handover->owner);
 }
 
-static void on_newer(void *ctx, uint64_t version)
+static void on_newer_version(void *ctx, uint64_t version)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> newer %d\n", (int)version);
 }
@@ -97,13 +98,13 @@
 static void *play_new(GString *out)
 {
 	static const handover_ops_t ops = {.send = on_send,
-					   .go = on_go,
+					   .grant = on_grant,
 					   .cancel = on_cancel,
-					   .silent = on_silent,
-					   .not_taken = on_not_taken,
+					   .unresponsive = on_unresponsive,
+					   .rejected = on_rejected,
 					   .answer = on_answer,
 					   .gather_here = on_gather_here,
-					   .newer = on_newer};
+					   .newer_version = on_newer_version};
 	play_t *play = g_new0(play_t, 1);
 
 	play->out = out;
@@ -170,7 +171,7 @@
 	const handover_t *handover = id ? g_hash_table_lookup(play->open, id) : NULL;
 
 	message.serial = handover ? handover->serial : serial_of_none;
-	handovers_heard(play->all, find(play, name), &message, play->now_us);
+	handovers_receive(play->all, find(play, name), &message, play->now_us);
 }
 
 static void do_there(void *ctx, char **words)
@@ -186,12 +187,12 @@
 static void do_request(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	const handover_terms_t terms = {.deadline_us =
-						play->now_us + strtoull(words[2], NULL, 10) * 1000,
-					.target_us = strtoull(words[3], NULL, 10) * 1000,
-					.attempts_most = (uint32_t)atoi(words[4])};
+	const handover_limits_t limits = {.deadline_us = play->now_us +
+							 strtoull(words[2], NULL, 10) * 1000,
+					  .target_us = strtoull(words[3], NULL, 10) * 1000,
+					  .attempts_max = (uint32_t)atoi(words[4])};
 	char *id = (char *)g_intern_string(words[1]);
-	handover_t *handover = handover_begin(play->all, &terms, id, play->now_us);
+	handover_t *handover = handover_begin(play->all, &limits, id, play->now_us);
 
 	if (handover)
 		g_hash_table_insert(play->open, id, handover);
@@ -201,7 +202,7 @@
 
 static void do_taken(void *ctx, char **words)
 {
-	hop_message_t message = {.type = HOP_TAKEN};
+	hop_message_t message = {.type = HOP_ACCEPTED};
 
 	message.version = words[3] ? strtoull(words[3], NULL, 10) : 0;
 	hear(ctx, words[1], words[2], message);
@@ -209,7 +210,7 @@
 
 static void do_refuses(void *ctx, char **words)
 {
-	hop_message_t message = {.type = HOP_NOT_TAKEN};
+	hop_message_t message = {.type = HOP_REJECTED};
 
 	for (int i = 0; i < HOP_REASONS; i++)
 		if (g_str_equal(reasons[i], words[3]))
@@ -237,7 +238,7 @@
 {
 	play_t *play = ctx;
 
-	handovers_lost(play->all, find(play, words[1]), play->now_us);
+	handovers_connection_lost(play->all, find(play, words[1]), play->now_us);
 }
 
 static void do_leave(void *ctx, char **words)
--- a/tests/hop_message_test.c
+++ b/tests/hop_message_test.c
@@ -33,8 +33,9 @@
 	g_string_append_printf(out,
 			       "%d #%" G_GUINT64_FORMAT " reason=%d more=%u by=%" G_GUINT64_FORMAT
 			       " %" G_GUINT64_FORMAT " %d",
-			       message->type, message->serial, message->reason, message->more,
-			       message->version, request->version, request->again);
+			       message->type, message->serial, message->reason,
+			       message->more_attempts, message->version, request->version,
+			       request->retried);
 	g_string_append_printf(out, " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT,
 			       request->elapsed_us, request->patience_us);
 	append_bytes(out, request->id);
@@ -57,7 +58,7 @@
 		message.request = (hop_request_t){.version = 17,
 						  .elapsed_us = 2300,
 						  .patience_us = 600000,
-						  .again = true,
+						  .retried = true,
 						  .id = bytes_of("id"),
 						  .host = bytes_of("h"),
 						  .target = bytes_of("/x/"),
@@ -70,11 +71,11 @@
 						.retry_after_us = 200000,
 						.stamps = bytes_of("a, b"),
 						.records = bytes_of("0123456789abcdef")};
-	if (type == HOP_NOT_TAKEN)
+	if (type == HOP_REJECTED)
 		message.reason = HOP_BUSY;
-	if (type == HOP_GO)
-		message.more = 2;
-	if (type == HOP_TAKEN)
+	if (type == HOP_GRANT)
+		message.more_attempts = 2;
+	if (type == HOP_ACCEPTED)
 		message.version = 21;
 	return message;
 }
@@ -132,7 +133,7 @@
 	assert_string_equal(got->str, "");
 	msgpack_sbuffer_clear(&buffer);
 	msgpack_pack_array(&packer, 4);
-	msgpack_pack_uint8(&packer, HOP_GO);
+	msgpack_pack_uint8(&packer, HOP_GRANT);
 	msgpack_pack_uint64(&packer, 1);
 	msgpack_pack_uint32(&packer, 1);
 	msgpack_pack_nil(&packer);
--- a/tests/world.h
+++ b/tests/world.h
@@ -3,7 +3,8 @@
  * Small fakes at the core's interfaces: searchers, the platform and virtual time, for tests.
  *
  * Every VM here is the real engine, claims and adoption. Runs are decided by the seed alone. Each
- * answer is checked against the promises as it is given; what breaks one is kept in `violations`.
+ * answer is checked against the means_not_run as it is given; what breaks one is kept in
+ * `violations`.
  */
 #ifndef DS_TEST_WORLD_H
 #define DS_TEST_WORLD_H
@@ -121,7 +122,7 @@
 void world_propose(world_t *world, uint32_t vm, const char *out, const char *by,
 		   proposal_end_t *end, uint64_t *number);
 uint64_t world_config_number(const world_t *world, uint32_t vm);
-/** At the end of a run: promises that only the whole run can show. */
+/** At the end of a run: means_not_run that only the whole run can show. */
 void world_check_end(world_t *world);
 
 #endif
