--- a/src/core/gossip.c
+++ b/src/core/gossip.c
@@ -1,6 +1,6 @@
 /**
  * @file gossip.c
- * See gossip.h. docs/decisions/0008-members.md weighs the ways.
+ * See gossip.h. docs/decisions/0008-members.md compares the alternatives.
  */
 #include "core/gossip.h"
 
@@ -9,14 +9,15 @@
 #include <xxhash.h>
 
 #define FANOUT 2
-#define FANOUT_NEWS 3
-#define MEMBERS_A_MESSAGE 16
-#define NOTES_A_MESSAGE 16
-#define SUSPECT_US 5000000
-/* The dead are remembered for a while, or an old message would bring them back. */
-#define FORGET_US 60000000
-#define NOTE_KEEP_MS 10000
-#define WATCHERS 2
+#define FANOUT_UPDATE 3
+#define MEMBERS_PER_MESSAGE 16
+#define NOTES_PER_MESSAGE 16
+#define SUSPECT_TIMEOUT_US 5000000
+/* Dead members are remembered for this time; otherwise an old message would make them alive again.
+ */
+#define DEAD_RETENTION_US 60000000
+#define NOTE_RETENTION_MS 10000
+#define WATCHERS_PER_DATA_CENTRE 2
 
 struct gossip_t {
 	const gossip_ops_t *ops;
@@ -25,11 +26,11 @@
 	GRand *rand;
 	member_t *self;
 	GPtrArray *members; /* member_t, without self */
-	GPtrArray *seeds;   /* member_t without names: asked until they are known */
+	GPtrArray *seeds;   /* member_t without names: contacted until they are known members */
 	GPtrArray *notes;   /* leaving_note_t */
 	uint64_t config_number;
 	json_t *config_value;
-	uint32_t turn; /* rotates what does not fit into one message */
+	uint32_t rotation; /* rotates the members that do not all fit into one message */
 };
 
 void member_free(void *data)
@@ -158,18 +159,19 @@
 	uint32_t count = gossip->members->len;
 
 	g_ptr_array_add(message->members, member_copy(gossip->self));
-	for (uint32_t i = 0; i < MIN(count, MEMBERS_A_MESSAGE); i++)
+	for (uint32_t i = 0; i < MIN(count, MEMBERS_PER_MESSAGE); i++)
 		g_ptr_array_add(message->members,
 				member_copy(g_ptr_array_index(gossip->members,
-							      (gossip->turn + i) % count)));
-	gossip->turn += MEMBERS_A_MESSAGE;
+							      (gossip->rotation + i) % count)));
+	gossip->rotation += MEMBERS_PER_MESSAGE;
 }
 
 static void add_notes(const gossip_t *gossip, gossip_message_t *message)
 {
 	uint32_t count = gossip->notes->len;
 
-	for (uint32_t i = count > NOTES_A_MESSAGE ? count - NOTES_A_MESSAGE : 0; i < count; i++) {
+	for (uint32_t i = count > NOTES_PER_MESSAGE ? count - NOTES_PER_MESSAGE : 0; i < count;
+	     i++) {
 		const leaving_note_t *from = g_ptr_array_index(gossip->notes, i);
 		leaving_note_t *note = g_new0(leaving_note_t, 1);
 
@@ -194,7 +196,7 @@
 	return message;
 }
 
-/* ---- choosing whom to tell ---- */
+/* ---- choosing receivers ---- */
 
 static bool is_known(const gossip_t *gossip, const member_t *seed)
 {
@@ -220,15 +222,15 @@
 	for (guint i = 0; i < gossip->seeds->len; i++) {
 		member_t *seed = g_ptr_array_index(gossip->seeds, i);
 
-		/* A seed that is thought dead is asked again now and then: so a healed cut is
-		 * found. */
+		/* A seed that is believed to be dead is still contacted now and then, so that the
+		 * end of a network partition is detected. */
 		if (!is_known(gossip, seed) || g_rand_int_range(gossip->rand, 0, 10) == 0)
 			g_ptr_array_add(list, seed);
 	}
 	return list;
 }
 
-static void tell_some(gossip_t *gossip, uint32_t fanout, bool with_config)
+static void send_to_random(gossip_t *gossip, uint32_t fanout, bool with_config)
 {
 	g_autoptr(GPtrArray) list = candidates(gossip);
 
@@ -264,53 +266,53 @@
 	member->changed_us = now_us;
 }
 
-/* Somebody suspects this VM: a higher incarnation is stronger than any suspicion of the old one. */
-static void refute(gossip_t *gossip, const member_t *heard)
+/* Refutes a suspicion of this VM: a higher incarnation overrides any suspicion of the old one. */
+static void refute(gossip_t *gossip, const member_t *received)
 {
-	if (heard->incarnation < gossip->self->incarnation || heard->state == MEMBER_ALIVE ||
-	    heard->state == gossip->self->state)
+	if (received->incarnation < gossip->self->incarnation || received->state == MEMBER_ALIVE ||
+	    received->state == gossip->self->state)
 		return;
-	gossip->self->incarnation = heard->incarnation + 1;
+	gossip->self->incarnation = received->incarnation + 1;
 }
 
-static void take_member(gossip_t *gossip, const member_t *heard, uint64_t now_us)
+static void merge_member(gossip_t *gossip, const member_t *received, uint64_t now_us)
 {
 	member_t *member;
 
-	if (g_str_equal(heard->name, gossip->self->name)) {
-		refute(gossip, heard);
+	if (g_str_equal(received->name, gossip->self->name)) {
+		refute(gossip, received);
 		return;
 	}
-	member = find_member(gossip, heard->name);
+	member = find_member(gossip, received->name);
 	if (!member) {
-		if (heard->state == MEMBER_DEAD)
+		if (received->state == MEMBER_DEAD)
 			return;
-		member = member_copy(heard);
+		member = member_copy(received);
 		member->changed_us = now_us;
 		g_ptr_array_add(gossip->members, member);
 		timeline_add(gossip->timeline, "event=member member=%s from=unknown to=%s",
 			     member->name, member_state_name(member->state));
 		return;
 	}
-	if (heard->incarnation < member->incarnation ||
-	    (heard->incarnation == member->incarnation && heard->state <= member->state))
+	if (received->incarnation < member->incarnation ||
+	    (received->incarnation == member->incarnation && received->state <= member->state))
 		return;
-	member->incarnation = heard->incarnation;
+	member->incarnation = received->incarnation;
 	g_free(member->address);
-	member->address = g_strdup(heard->address);
-	member->port = heard->port;
-	set_state(gossip, member, heard->state, now_us);
+	member->address = g_strdup(received->address);
+	member->port = received->port;
+	set_state(gossip, member, received->state, now_us);
 }
 
-static void age_members(gossip_t *gossip, uint64_t now_us)
+static void expire_members(gossip_t *gossip, uint64_t now_us)
 {
 	for (guint i = gossip->members->len; i-- > 0;) {
 		member_t *member = g_ptr_array_index(gossip->members, i);
 		uint64_t age_us = now_us - member->changed_us;
 
-		if (member->state == MEMBER_SUSPECT && age_us > SUSPECT_US)
+		if (member->state == MEMBER_SUSPECT && age_us > SUSPECT_TIMEOUT_US)
 			set_state(gossip, member, MEMBER_DEAD, now_us);
-		else if (member->state == MEMBER_DEAD && age_us > FORGET_US)
+		else if (member->state == MEMBER_DEAD && age_us > DEAD_RETENTION_US)
 			g_ptr_array_remove_index_fast(gossip->members, i);
 	}
 }
@@ -328,24 +330,25 @@
 	return NULL;
 }
 
-static void forget_notes(gossip_t *gossip)
+static void expire_notes(gossip_t *gossip)
 {
 	uint64_t now_ms = gossip->timeline->wall_ms();
 
 	for (guint i = gossip->notes->len; i-- > 0;) {
 		const leaving_note_t *note = g_ptr_array_index(gossip->notes, i);
 
-		if (note->at_ms + NOTE_KEEP_MS < now_ms)
+		if (note->at_ms + NOTE_RETENTION_MS < now_ms)
 			g_ptr_array_remove_index(gossip->notes, i);
 	}
 }
 
-/* True when it is news. */
-static bool take_note(gossip_t *gossip, const char *service, const char *upstream, uint64_t at_ms)
+/* Returns true if the note is new or newer than the known one. */
+static bool merge_note(gossip_t *gossip, const char *service, const char *upstream, uint64_t at_ms)
 {
 	leaving_note_t *note = find_note(gossip, service, upstream);
 
-	if (at_ms + NOTE_KEEP_MS < gossip->timeline->wall_ms() || (note && note->at_ms >= at_ms))
+	if (at_ms + NOTE_RETENTION_MS < gossip->timeline->wall_ms() ||
+	    (note && note->at_ms >= at_ms))
 		return false;
 	if (!note) {
 		note = g_new0(leaving_note_t, 1);
@@ -357,51 +360,53 @@
 	return true;
 }
 
-void gossip_leaving(gossip_t *gossip, const char *service, const char *upstream, uint64_t wall_ms)
+void gossip_announce_leaving(gossip_t *gossip, const char *service, const char *upstream,
+			     uint64_t wall_ms)
 {
 	const leaving_note_t *known = find_note(gossip, service, upstream);
 
-	/* Told by a peer, or a moment ago: saying it anew would keep the note alive for ever. */
-	if (known || !take_note(gossip, service, upstream, wall_ms))
+	/* The note is already known, from a peer or from this VM a moment ago. Announcing it again
+	 * would keep it alive for ever. */
+	if (known || !merge_note(gossip, service, upstream, wall_ms))
 		return;
-	tell_some(gossip, FANOUT_NEWS, false);
+	send_to_random(gossip, FANOUT_UPDATE, false);
 }
 
 /* ---- in and out ---- */
 
 void gossip_tick(gossip_t *gossip, uint64_t now_us)
 {
-	age_members(gossip, now_us);
-	forget_notes(gossip);
-	tell_some(gossip, FANOUT, false);
+	expire_members(gossip, now_us);
+	expire_notes(gossip);
+	send_to_random(gossip, FANOUT, false);
 }
 
-void gossip_config(gossip_t *gossip, uint64_t number, json_t *value)
+void gossip_announce_config(gossip_t *gossip, uint64_t number, json_t *value)
 {
 	if (number <= gossip->config_number)
 		return;
 	gossip->config_number = number;
 	json_decref(gossip->config_value);
 	gossip->config_value = json_incref(value);
-	tell_some(gossip, FANOUT_NEWS, true);
+	send_to_random(gossip, FANOUT_UPDATE, true);
 }
 
 void gossip_leave(gossip_t *gossip)
 {
 	gossip->self->state = MEMBER_LEAVING;
 	gossip->self->incarnation++;
-	tell_some(gossip, FANOUT_NEWS, false);
+	send_to_random(gossip, FANOUT_UPDATE, false);
 }
 
-static void take_message(gossip_t *gossip, const gossip_message_t *message, uint64_t now_us)
+static void merge_message(gossip_t *gossip, const gossip_message_t *message, uint64_t now_us)
 {
 	hlc_receive(&gossip->timeline->clock, gossip->timeline->wall_ms(), message->stamp);
 	for (guint i = 0; i < message->members->len; i++)
-		take_member(gossip, g_ptr_array_index(message->members, i), now_us);
+		merge_member(gossip, g_ptr_array_index(message->members, i), now_us);
 	for (guint i = 0; i < message->leaving->len; i++) {
 		const leaving_note_t *note = g_ptr_array_index(message->leaving, i);
 
-		if (take_note(gossip, note->service, note->upstream, note->at_ms))
+		if (merge_note(gossip, note->service, note->upstream, note->at_ms))
 			gossip->ops->leaving(gossip->ctx, note);
 	}
 	if (message->config_value && message->config_number > gossip->config_number)
@@ -411,7 +416,7 @@
 gossip_message_t *gossip_receive(gossip_t *gossip, const gossip_message_t *message,
 				 bool wants_reply, uint64_t now_us)
 {
-	take_message(gossip, message, now_us);
+	merge_message(gossip, message, now_us);
 	if (!wants_reply)
 		return NULL;
 	return compose(gossip, gossip->config_number > message->config_number);
@@ -428,8 +433,8 @@
 	return NULL;
 }
 
-void gossip_exchanged(gossip_t *gossip, const char *address, uint16_t port,
-		      const gossip_message_t *reply, uint64_t now_us)
+void gossip_complete_exchange(gossip_t *gossip, const char *address, uint16_t port,
+			      const gossip_message_t *reply, uint64_t now_us)
 {
 	member_t *member = find_by_address(gossip, address, port);
 
@@ -438,8 +443,8 @@
 			set_state(gossip, member, MEMBER_SUSPECT, now_us);
 		return;
 	}
-	take_message(gossip, reply, now_us);
-	/* It answered, whatever others say of it. */
+	merge_message(gossip, reply, now_us);
+	/* It answered, so it is alive whatever other members report. */
 	if (member && member->state != MEMBER_LEAVING)
 		set_state(gossip, member, MEMBER_ALIVE, now_us);
 	if (reply->config_number < gossip->config_number)
@@ -452,9 +457,9 @@
 }
 
 /*
- * Rendezvous hashing: every VM works out the same few of its data centre, without a leader, from
- * the members it knows. Where views differ for a moment a few more watch, or a few less; those who
- * hear nothing ask the platform themselves.
+ * Rendezvous hashing: every VM determines the same few watchers of its data centre, without a
+ * leader, from the members that it knows. While views differ, a few more or fewer VMs watch; VMs
+ * that receive nothing ask the platform themselves.
  */
 bool gossip_is_watcher(const gossip_t *gossip)
 {
@@ -468,5 +473,5 @@
 		    g_str_equal(member->data_centre, gossip->self->data_centre))
 			above += rank(member->name) > own;
 	}
-	return above < WATCHERS;
+	return above < WATCHERS_PER_DATA_CENTRE;
 }
--- a/src/tasks/peer_task.c
+++ b/src/tasks/peer_task.c
@@ -58,7 +58,8 @@
 	peer_task_t *task = self;
 	exchange_t *exchange = message;
 
-	gossip_exchanged(task->gossip, exchange->address, exchange->port, NULL, loop_now_us());
+	gossip_complete_exchange(task->gossip, exchange->address, exchange->port, NULL,
+				 loop_now_us());
 	g_free(exchange->address);
 	g_free(exchange);
 }
@@ -142,8 +143,8 @@
 	}
 	if (exchange->dialled) {
 		exchange->answered = true;
-		gossip_exchanged(task->gossip, exchange->address, exchange->port, message,
-				 loop_now_us());
+		gossip_complete_exchange(task->gossip, exchange->address, exchange->port, message,
+					 loop_now_us());
 	} else {
 		reply_to(exchange, message);
 	}
@@ -272,12 +273,12 @@
 
 static void on_config(void *ctx, uint64_t number, json_t *value)
 {
-	gossip_config(((peer_task_t *)ctx)->gossip, number, value);
+	gossip_announce_config(((peer_task_t *)ctx)->gossip, number, value);
 }
 
 static void on_leaving(void *ctx, const char *service, const char *upstream)
 {
-	gossip_leaving(((peer_task_t *)ctx)->gossip, service, upstream, loop_wall_ms());
+	gossip_announce_leaving(((peer_task_t *)ctx)->gossip, service, upstream, loop_wall_ms());
 }
 
 static void on_tick(void *ctx)
--- a/tests/gossip_test.c
+++ b/tests/gossip_test.c
@@ -67,7 +67,7 @@
 	node_t *node = ctx;
 
 	node->config = number;
-	gossip_config(node->gossip, number, value);
+	gossip_announce_config(node->gossip, number, value);
 }
 
 static void do_leaving(void *ctx, const leaving_note_t *note)
@@ -142,7 +142,8 @@
 		gossip_message_free(sent);
 		gossip_message_free(reply);
 	}
-	gossip_exchanged(call->from->gossip, call->address, call->port, back, field->now_us);
+	gossip_complete_exchange(call->from->gossip, call->address, call->port, back,
+				 field->now_us);
 	gossip_message_free(back);
 }
 
@@ -268,7 +269,7 @@
 	(void)state;
 	run_periods(field, 40);
 	field->nodes[99].side = 1;
-	gossip_config(field->nodes[5].gossip, 7, value);
+	gossip_announce_config(field->nodes[5].gossip, 7, value);
 	field->nodes[5].config = 7;
 	settle(field);
 	run_periods(field, 3);
@@ -290,7 +291,7 @@
 
 	(void)state;
 	run_periods(field, 10);
-	gossip_leaving(field->nodes[2].gossip, "board", "board-0-0", wall_ms());
+	gossip_announce_leaving(field->nodes[2].gossip, "board", "board-0-0", wall_ms());
 	settle(field);
 	run_periods(field, 3);
 	for (uint32_t i = 0; i < 7; i++) {
