--- a/src/core/vm.c
+++ b/src/core/vm.c
@@ -4,11 +4,13 @@
  */
 #include "core/vm.h"
 
-/* Of a sub-request: processor time on a whole core, system calls and wake-ups included (23.1 s for
- * 360,059 of them), and bits on the link (400 B of records with their headers, and the request). */
+/* Cost of a sub-request: processor time on a whole core, including system calls and wake-ups (23.1
+ * s for 360,059 of them), and bits on the link (400 B of records with their headers, and the
+ * request). */
 #define PART_PROCESSOR_US 64.0
 #define PART_BITS 7200.0
-/* Of an answer: read from one connection, written to another, some 30 bytes of stamp a shard. */
+/* Cost of an answer: it is read from one connection and written to another, with some 30 bytes of
+ * stamp per shard. */
 #define ANSWER_PROCESSOR_US 200.0
 #define ANSWER_BITS 32000.0
 
