--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -309,7 +309,7 @@
 
 	list_candidates(engine, part, now_us, &choice);
 	if (choice.count == 0) {
-		if (part->attempts->len || part->backoff.place)
+		if (part->attempts->len || part->backoff.heap_position)
 			return;
 		if (anyone_left(part))
 			back_off(engine, part, now_us);
@@ -448,7 +448,7 @@
 		upstream->limit = upstream->share;
 	histogram_add(&service->attempt_latency, latency_us);
 	if (service->attempt_latency.count >= FADE_SAMPLES)
-		histogram_fade(&service->attempt_latency);
+		histogram_decay(&service->attempt_latency);
 }
 
 static void part_answered(engine_t *engine, part_t *part, attempt_kind_t kind, const reply_t *reply,
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -327,7 +327,7 @@
 {
 	timer_entry_t *timer = &forwarder->warm_timer;
 
-	if (at_us != UINT64_MAX && (!timer->place || at_us < timer->at_us))
+	if (at_us != UINT64_MAX && (!timer->heap_position || at_us < timer->at_us))
 		timers_set(&forwarder->timers, timer, at_us);
 }
 
--- a/src/core/hearing.c
+++ b/src/core/hearing.c
@@ -26,7 +26,7 @@
 
 bool hearing_is_set(const timer_entry_t *timer)
 {
-	return timer->place != 0;
+	return timer->heap_position != 0;
 }
 
 void hearing_set_away(hearing_t *hearing, bool away)
--- a/src/core/histogram.c
+++ b/src/core/histogram.c
@@ -47,7 +47,7 @@
 	return histogram->max_us;
 }
 
-void histogram_fade(histogram_t *histogram)
+void histogram_decay(histogram_t *histogram)
 {
 	histogram->count = 0;
 	histogram->sum_us /= 2;
--- a/src/core/histogram.h
+++ b/src/core/histogram.h
@@ -1,6 +1,6 @@
 /**
  * @file histogram.h
- * A log-linear histogram of durations: 16 linear steps an octave, so at most 6.25 % error.
+ * A log-linear histogram of durations: 16 linear steps per octave, so at most 6.25 % error.
  */
 #ifndef DS_HISTOGRAM_H
 #define DS_HISTOGRAM_H
@@ -18,9 +18,9 @@
 } histogram_t;
 
 void histogram_add(histogram_t *histogram, uint64_t value_us);
-/** The value below which @p fraction (0..1) of samples lie; 0 when empty. */
+/** The value below which @p fraction (0..1) of the samples lie; 0 when empty. */
 uint64_t histogram_quantile_us(const histogram_t *histogram, double fraction);
-/** Halve every bucket, so that old samples fade. */
-void histogram_fade(histogram_t *histogram);
+/** Halves every bucket, so that old samples lose weight. */
+void histogram_decay(histogram_t *histogram);
 
 #endif
--- a/src/core/restart.c
+++ b/src/core/restart.c
@@ -94,7 +94,7 @@
 {
 	service_t *service = engine_service_of(query);
 
-	if (query->news.place)
+	if (query->news.heap_position)
 		return true;
 	if (query->request->kind == SERVICE_ONCE || query->restarts >= RESTARTS_MOST ||
 	    query->waited_for_news || !service->versions_moved_us ||
@@ -110,7 +110,7 @@
 
 void restart_forget(engine_t *engine, query_t *query)
 {
-	if (!query->news.place)
+	if (!query->news.heap_position)
 		return;
 	timers_cancel(&engine->timers, &query->news);
 	g_ptr_array_remove_fast(engine_service_of(query)->awaiting, query);
@@ -123,7 +123,7 @@
 	for (guint i = 0; i < list->len; i++) {
 		query_t *query = g_ptr_array_index(list, i);
 
-		if (query->news.place)
+		if (query->news.heap_position)
 			restart_try(engine, query, now_us);
 	}
 }
--- a/src/core/timers.c
+++ b/src/core/timers.c
@@ -12,7 +12,7 @@
 static void put(timers_t *timers, uint32_t index, timer_entry_t *entry)
 {
 	g_ptr_array_index(timers->heap, index) = entry;
-	entry->place = index + 1;
+	entry->heap_position = index + 1;
 }
 
 static void sift_up(timers_t *timers, uint32_t index)
@@ -72,19 +72,19 @@
 
 void timers_cancel(timers_t *timers, timer_entry_t *entry)
 {
-	uint32_t index = entry->place - 1;
+	uint32_t index = entry->heap_position - 1;
 	timer_entry_t *last;
 
-	if (!entry->place)
+	if (!entry->heap_position)
 		return;
-	entry->place = 0;
+	entry->heap_position = 0;
 	last = entry_at(timers, timers->heap->len - 1);
 	g_ptr_array_set_size(timers->heap, (gint)timers->heap->len - 1);
 	if (last == entry)
 		return;
 	put(timers, index, last);
 	sift_up(timers, index);
-	sift_down(timers, last->place - 1);
+	sift_down(timers, last->heap_position - 1);
 }
 
 uint64_t timers_next_us(const timers_t *timers)
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -132,7 +132,7 @@
 	*asked = (asked_t){
 		.subscriber = subscriber, .kind = message->kind, .name = g_strdup(message->name)};
 	g_queue_push_tail(&server->asked, asked);
-	if (!server->asked_timer.entry.place)
+	if (!server->asked_timer.entry.heap_position)
 		tell_asked(server);
 }
 
--- a/standins/users_platform.c
+++ b/standins/users_platform.c
@@ -335,7 +335,7 @@
 		break;
 	case DOOR_SILENT:
 		if (door->swallow_from_us && loop_now_us() >= door->swallow_from_us &&
-		    !door->opens.entry.place &&
+		    !door->opens.entry.heap_position &&
 		    g_str_has_prefix(http_exchange_path(exchange), "/objects/config"))
 			loop_timer_set(door->users->loop, &door->opens, SWALLOWED_US);
 		break;
