--- a/src/core/platform_result.h
+++ b/src/core/platform_result.h
@@ -1,6 +1,6 @@
 /**
  * @file platform_result.h
- * How a call on the platform's object API ended. docs/PLATFORM.md describes the wire.
+ * Result of a call to the platform's object API. docs/PLATFORM.md describes the protocol.
  */
 #ifndef DS_PLATFORM_RESULT_H
 #define DS_PLATFORM_RESULT_H
@@ -10,18 +10,18 @@
 
 typedef enum platform_end_t {
 	PLATFORM_OK,	    /**< read: version and value; write: the new version */
-	PLATFORM_ABSENT,    /**< read: there is no such object; version 0 */
-	PLATFORM_CONFLICT,  /**< write: the version named is not the current one */
-	PLATFORM_UNCHANGED, /**< watch: nothing new in the time given */
+	PLATFORM_ABSENT,    /**< read: no such object; version 0 */
+	PLATFORM_CONFLICT,  /**< write: the given version is not the current one */
+	PLATFORM_UNCHANGED, /**< watch: no change within the given time */
 	PLATFORM_UNKNOWN,   /**< no answer: a write may or may not have taken effect */
 } platform_end_t;
 
-/** How far a call got, as its connection shows. */
+/** How far a call got on its connection. */
 typedef enum platform_reach_t {
 	PLATFORM_REPLIED,
-	PLATFORM_NOT_SENT, /**< no connection, or none in time to write on */
-	PLATFORM_CUT,	   /**< the connection broke before the reply was whole */
-	PLATFORM_SILENT,   /**< given up: no whole reply in the time that it had */
+	PLATFORM_NOT_SENT,	  /**< no connection was available in time to write the request */
+	PLATFORM_CONNECTION_LOST, /**< broke before the reply was complete */
+	PLATFORM_TIMED_OUT,	  /**< timed out: no complete reply in the time allowed */
 	PLATFORM_REACHES,
 } platform_reach_t;
 
@@ -30,8 +30,8 @@
 	platform_reach_t reach;
 	uint64_t version;
 	json_t *value; /**< borrowed; NULL for none */
-	int status;    /**< as it was sent; 0 when no whole reply came */
-	json_t *body;  /**< the whole reply, borrowed; NULL when it is not JSON */
+	int status;    /**< HTTP status as received; 0 when no complete reply came */
+	json_t *body;  /**< the complete reply, borrowed; NULL when it is not JSON */
 } platform_result_t;
 
 #endif
--- a/src/core/store_era.h
+++ b/src/core/store_era.h
@@ -1,11 +1,11 @@
 /**
  * @file store_era.h
- * Which life of the platform's store a word of it is from.
+ * Compares store eras, to detect that the platform's store was restored from an older copy.
  *
- * The store may come back from a copy some seconds old. What was written since is gone, and its
- * revisions are given out again, so what was known by a revision of before says nothing now. Its
- * era rises each time: a word of a later era makes everything be read anew, one of an earlier era
- * is not believed.
+ * The store may be restored from a copy that is some seconds old. What was written since is lost,
+ * and its revisions are assigned again, so a revision known from before the restore means nothing
+ * now. The store's era increases with each restore: a message with a later era causes everything to
+ * be read again, and one with an earlier era is ignored.
  */
 #ifndef DS_STORE_ERA_H
 #define DS_STORE_ERA_H
@@ -13,19 +13,19 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef enum store_era_news_t {
+typedef enum store_era_change_t {
 	STORE_ERA_SAME,
-	STORE_ERA_OLDER, /**< said by the store before it came back */
-	STORE_ERA_NEWER, /**< the store has come back from a copy */
-} store_era_news_t;
+	STORE_ERA_OLDER, /**< written by the store before it was restored */
+	STORE_ERA_NEWER, /**< the store has been restored from an older copy */
+} store_era_change_t;
 
-/** The latest era that was heard of. Zeroed: none was. */
+/** The latest era received. Zeroed: none yet. */
 typedef struct store_era_t {
 	uint64_t number;
 	bool known;
 } store_era_t;
 
-/** A word of the store's era @p number has been heard. */
-store_era_news_t store_era_take(store_era_t *era, uint64_t number);
+/** Records a message with era @p number, and compares it with the latest era received. */
+store_era_change_t store_era_observe(store_era_t *era, uint64_t number);
 
 #endif
--- a/src/tasks/follower.c
+++ b/src/tasks/follower.c
@@ -71,7 +71,7 @@
 	store_page_t page = {0};
 	hearing_end_t end = HEARING_REFUSED;
 
-	if (result->reach == PLATFORM_SILENT)
+	if (result->reach == PLATFORM_TIMED_OUT)
 		return HEARING_SILENT;
 	if (result->status == 410) {
 		g_message("event=store-history-gone kind=%s since=%" G_GUINT64_FORMAT,
--- a/src/tasks/platform_task.c
+++ b/src/tasks/platform_task.c
@@ -107,9 +107,9 @@
 	task->restored_ctx = ctx;
 }
 
-store_era_news_t platform_task_take_era(platform_task_t *task, uint64_t number)
+store_era_change_t platform_task_take_era(platform_task_t *task, uint64_t number)
 {
-	store_era_news_t news = store_era_take(&task->era, number);
+	store_era_change_t news = store_era_observe(&task->era, number);
 
 	if (news != STORE_ERA_NEWER)
 		return news;
@@ -154,9 +154,9 @@
 	case HTTP_END_NOT_SENT:
 		return PLATFORM_NOT_SENT;
 	case HTTP_END_CANCELLED:
-		return PLATFORM_SILENT;
+		return PLATFORM_TIMED_OUT;
 	default:
-		return PLATFORM_CUT;
+		return PLATFORM_CONNECTION_LOST;
 	}
 }
 
--- a/src/tasks/platform_task.h
+++ b/src/tasks/platform_task.h
@@ -52,7 +52,7 @@
  * says so is handed on. */
 void platform_task_set_restored(platform_task_t *task, void (*restored)(void *ctx), void *ctx);
 /** Another VM has heard of the store's era @p number. */
-store_era_news_t platform_task_take_era(platform_task_t *task, uint64_t number);
+store_era_change_t platform_task_take_era(platform_task_t *task, uint64_t number);
 /** The latest era heard of; 0 before any is. */
 uint64_t platform_task_era(const platform_task_t *task);
 const platform_counters_t *platform_task_counters(const platform_task_t *task);
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -523,11 +523,11 @@
 	store_era_t era = {0};
 
 	(void)state;
-	assert_int_equal(store_era_take(&era, 3), STORE_ERA_SAME);
-	assert_int_equal(store_era_take(&era, 3), STORE_ERA_SAME);
-	assert_int_equal(store_era_take(&era, 4), STORE_ERA_NEWER);
-	assert_int_equal(store_era_take(&era, 3), STORE_ERA_OLDER);
-	assert_int_equal(store_era_take(&era, 4), STORE_ERA_SAME);
+	assert_int_equal(store_era_observe(&era, 3), STORE_ERA_SAME);
+	assert_int_equal(store_era_observe(&era, 3), STORE_ERA_SAME);
+	assert_int_equal(store_era_observe(&era, 4), STORE_ERA_NEWER);
+	assert_int_equal(store_era_observe(&era, 3), STORE_ERA_OLDER);
+	assert_int_equal(store_era_observe(&era, 4), STORE_ERA_SAME);
 	assert_int_equal(era.number, 4);
 }
 
