--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -1,18 +1,18 @@
 /**
  * @file handover_test.c
- * Plays the scripts of tests/handover over the course of requests that other VMs gather: no
- * sockets, and time as the script says.
+ * Runs the scripts of tests/handover against the hand-over of requests to other VMs, without
+ * sockets and with a simulated clock.
  *
  * A script holds commands and, after "> ", the lines that they must print. Commands:
  *
- *     gatherers NAME[@DATA_CENTRE]...   who gathers for this VM, best first
- *     there NAME                        it says that it is there
+ *     gatherers NAME[@DATA_CENTRE]...   the gatherers for this VM, best first
+ *     there NAME                        the gatherer answers a ping
  *     request ID DEADLINE_MS TARGET_MS ATTEMPTS
  *     taken NAME ID [VERSION], refuses NAME ID REASON, answer NAME ID END
- *     leaving NAME, lost NAME           it stops, or its connection ends
- *     leave ID                          the caller goes away
- *     at MS                             time passes up to then, each timer at its moment
- *     stand MS                          this VM stands still up to then
+ *     leaving NAME, lost NAME           the gatherer stops, or its connection ends
+ *     leave ID                          the caller leaves
+ *     at MS                             advances the clock to MS, firing each timer when it is due
+ *     stand MS                          this VM is suspended until MS
  */
 #include "core/handover.h"
 #include "playbook.h"
@@ -156,7 +156,7 @@
 	}
 }
 
-static gatherer_t *find(play_t *play, const char *name)
+static gatherer_t *find_gatherer(play_t *play, const char *name)
 {
 	gatherer_t *gatherer = g_hash_table_lookup(play->known, name);
 
@@ -165,23 +165,23 @@
 	return gatherer;
 }
 
-static void hear(play_t *play, const char *name, const char *id, hop_message_t message)
+static void receive(play_t *play, const char *name, const char *id, hop_message_t message)
 {
 	static uint64_t serial_of_none;
 	const handover_t *handover = id ? g_hash_table_lookup(play->open, id) : NULL;
 
 	message.serial = handover ? handover->serial : serial_of_none;
-	handovers_receive(play->all, find(play, name), &message, play->now_us);
+	handovers_receive(play->all, find_gatherer(play, name), &message, play->now_us);
 }
 
 static void do_there(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	gatherer_t *gatherer = find(play, words[1]);
+	gatherer_t *gatherer = find_gatherer(play, words[1]);
 
 	if (gatherer->state == GATHERER_CLOSED)
 		gatherer->state = GATHERER_PINGED;
-	hear(play, words[1], NULL, (hop_message_t){.type = HOP_PONG});
+	receive(play, words[1], NULL, (hop_message_t){.type = HOP_PONG});
 }
 
 static void do_request(void *ctx, char **words)
@@ -205,7 +205,7 @@
 	hop_message_t message = {.type = HOP_ACCEPTED};
 
 	message.version = words[3] ? strtoull(words[3], NULL, 10) : 0;
-	hear(ctx, words[1], words[2], message);
+	receive(ctx, words[1], words[2], message);
 }
 
 static void do_refuses(void *ctx, char **words)
@@ -215,7 +215,7 @@
 	for (int i = 0; i < HOP_REASONS; i++)
 		if (g_str_equal(reasons[i], words[3]))
 			message.reason = (hop_reason_t)i;
-	hear(ctx, words[1], words[2], message);
+	receive(ctx, words[1], words[2], message);
 }
 
 static void do_answer(void *ctx, char **words)
@@ -226,19 +226,19 @@
 		if (g_str_equal(forward_end_name((forward_end_t)end), words[3]))
 			message.answer.end = (forward_end_t)end;
 	message.answer.retry_after_us = forward_end_status(message.answer.end) == 503 ? 100000 : 0;
-	hear(ctx, words[1], words[2], message);
+	receive(ctx, words[1], words[2], message);
 }
 
 static void do_leaving(void *ctx, char **words)
 {
-	hear(ctx, words[1], NULL, (hop_message_t){.type = HOP_LEAVING});
+	receive(ctx, words[1], NULL, (hop_message_t){.type = HOP_LEAVING});
 }
 
 static void do_lost(void *ctx, char **words)
 {
 	play_t *play = ctx;
 
-	handovers_connection_lost(play->all, find(play, words[1]), play->now_us);
+	handovers_connection_lost(play->all, find_gatherer(play, words[1]), play->now_us);
 }
 
 static void do_leave(void *ctx, char **words)
