--- a/tests/hop_message_test.c
+++ b/tests/hop_message_test.c
@@ -1,6 +1,6 @@
 /**
  * @file hop_message_test.c
- * What VMs that hand gathers over and those that gather say to each other.
+ * Encoding and decoding of the messages between takers and gatherers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,8 +23,8 @@
 	g_string_append_len(out, bytes.data, (gssize)bytes.bytes);
 }
 
-/* All fields as text, so that two messages can be compared. */
-static void write_down(void *ctx, const hop_message_t *message)
+/* Writes all fields as text, so that two messages can be compared. */
+static void format_message(void *ctx, const hop_message_t *message)
 {
 	const hop_request_t *request = &message->request;
 	const hop_answer_t *answer = &message->answer;
@@ -80,7 +80,7 @@
 	return message;
 }
 
-/* Each message is read as it was written, however its bytes arrive. */
+/* Each message is decoded as it was encoded, however its bytes arrive. */
 static void test_round_trip(void **state)
 {
 	(void)state;
@@ -91,31 +91,32 @@
 		hop_message_t message = message_of((hop_type_t)type);
 		size_t used = 0;
 
-		write_down(wanted, &message);
+		format_message(wanted, &message);
 		hop_message_write(bytes, &message);
 		for (guint have = 0; have < bytes->len; have++)
 			assert_int_equal(
-				hop_message_read(bytes->data, have, &used, write_down, got),
+				hop_message_read(bytes->data, have, &used, format_message, got),
 				FRAMING_MORE);
-		assert_int_equal(hop_message_read(bytes->data, bytes->len, &used, write_down, got),
-				 FRAMING_ONE);
+		assert_int_equal(
+			hop_message_read(bytes->data, bytes->len, &used, format_message, got),
+			FRAMING_ONE);
 		assert_int_equal(used, bytes->len);
 		assert_string_equal(got->str, wanted->str);
 	}
 }
 
-/* A message in an array of our own, to be read back. */
+/* Reads back a message whose array the test has built. */
 static framing_t read_array(const msgpack_sbuffer *buffer, GString *got)
 {
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
 	size_t used = 0;
 
 	framing_append(bytes, buffer->data, buffer->size);
-	return hop_message_read(bytes->data, bytes->len, &used, write_down, got);
+	return hop_message_read(bytes->data, bytes->len, &used, format_message, got);
 }
 
-/* While VMs are updated one after the other, a later version says more than this one knows: its new
- * messages and fields are passed over, and the connection stays. */
+/* While VMs are updated one after the other, a newer version sends messages and fields that this
+ * one does not know. They are ignored, and the connection stays open. */
 static void test_later_version(void **state)
 {
 	g_autoptr(GString) got = g_string_new(NULL);
@@ -142,7 +143,8 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Bytes that are no message of ours end the connection, and nothing of them is taken. */
+/* Invalid bytes are reported, so that the connection is closed, and no message is delivered from
+ * them. */
 static void test_garbage(void **state)
 {
 	static const char *const payloads[] = {"",
@@ -159,8 +161,9 @@
 		size_t used = 0;
 
 		framing_append(bytes, payloads[i], strlen(payloads[i]));
-		assert_int_equal(hop_message_read(bytes->data, bytes->len, &used, write_down, got),
-				 FRAMING_BAD);
+		assert_int_equal(
+			hop_message_read(bytes->data, bytes->len, &used, format_message, got),
+			FRAMING_BAD);
 		assert_string_equal(got->str, "");
 	}
 }
