--- a/tests/gossip_test.c
+++ b/tests/gossip_test.c
@@ -1,6 +1,7 @@
 /**
  * @file gossip_test.c
- * Members and the wire between daemons: many tables in one process, virtual time, bytes counted.
+ * Gossip between daemons and its encoding: many members in one process, with a simulated clock,
+ * counting bytes.
  *
  * `gossip_test bytes` prints the bytes a second of one VM at 3, 7, 30 and 100 members.
  */
@@ -25,9 +26,9 @@
 	gossip_t *gossip;
 	timeline_t *timeline;
 	bool dead;
-	uint32_t side; /* nodes of different sides do not reach each other */
+	uint32_t side; /* nodes of different sides cannot reach each other */
 	uint64_t config;
-	char *told_leaving;
+	char *leaving_upstream;
 } node_t;
 
 typedef struct field_t {
@@ -74,8 +75,8 @@
 {
 	node_t *node = ctx;
 
-	g_free(node->told_leaving);
-	node->told_leaving = g_strdup(note->upstream);
+	g_free(node->leaving_upstream);
+	node->leaving_upstream = g_strdup(note->upstream);
 }
 
 static const gossip_ops_t ops = {
@@ -115,8 +116,8 @@
 	return field;
 }
 
-/* Over the wire and back, as bytes. */
-static gossip_message_t *carry(field_t *field, const gossip_message_t *message)
+/* Encodes and decodes a message, and counts its bytes. */
+static gossip_message_t *transmit(field_t *field, const gossip_message_t *message)
 {
 	GByteArray *frame = frame_encode(message, KEY);
 	gossip_message_t *copy = frame_decode(frame->data, frame->len, KEY, "");
@@ -136,9 +137,9 @@
 	if (call->from->dead)
 		return;
 	if (reached) {
-		sent = carry(field, call->message);
+		sent = transmit(field, call->message);
 		reply = gossip_receive(to->gossip, sent, true, field->now_us);
-		back = carry(field, reply);
+		back = transmit(field, reply);
 		gossip_message_free(sent);
 		gossip_message_free(reply);
 	}
@@ -147,7 +148,7 @@
 	gossip_message_free(back);
 }
 
-static void settle(field_t *field)
+static void deliver_all(field_t *field)
 {
 	call_t *call;
 
@@ -166,7 +167,7 @@
 		for (uint32_t i = 0; i < field->count; i++)
 			if (!field->nodes[i].dead)
 				gossip_tick(field->nodes[i].gossip, field->now_us);
-		settle(field);
+		deliver_all(field);
 	}
 }
 
@@ -185,16 +186,16 @@
 	for (uint32_t i = 0; i < field->count; i++) {
 		gossip_free(field->nodes[i].gossip);
 		timeline_free(field->nodes[i].timeline);
-		g_free(field->nodes[i].told_leaving);
+		g_free(field->nodes[i].leaving_upstream);
 	}
 	g_free(field);
 }
 
 /*
- * Thirty VMs start knowing two seeds. Within a few periods each knows all the others; two of each
- * data centre find by themselves that they are its watchers.
+ * Thirty VMs start and know two seeds. Within a few periods each knows all the others, and two VMs
+ * of each data centre determine that they are its watchers.
  */
-static void everyone_is_found(void **state)
+static void test_all_members_discovered(void **state)
 {
 	field_t *field = field_new(30);
 	uint32_t watchers = 0;
@@ -210,10 +211,11 @@
 }
 
 /*
- * A VM is killed. Those who try to reach it suspect it, and when nothing refutes that for five
- * seconds it is dead for all; a new start of it, with a higher incarnation, is alive for all again.
+ * A VM is killed. Members that fail to reach it suspect it, and after five seconds without a
+ * refutation it is dead for all members. When it restarts with a higher incarnation, it is alive
+ * for all members again.
  */
-static void the_dead_are_found_and_come_back(void **state)
+static void test_dead_member_restarts(void **state)
 {
 	field_t *field = field_new(10);
 
@@ -234,10 +236,11 @@
 }
 
 /*
- * The network is cut in two halves and heals. Each half takes the other for dead and goes on with
- * itself; after the cut all find each other again, because seeds are asked even when thought dead.
+ * The network is partitioned into two halves and heals. Each half considers the other dead and
+ * continues on its own. After the partition all members find each other again, because seeds are
+ * contacted even when they are believed to be dead.
  */
-static void a_cut_heals(void **state)
+static void test_partition_heals(void **state)
 {
 	field_t *field = field_new(8);
 
@@ -257,10 +260,11 @@
 }
 
 /*
- * One VM takes a configuration. It tells three, who tell three: a hundred have it at once, though
- * each sends a few messages only. One that was cut off gets it from whomever it reaches first.
+ * One VM receives a configuration. It sends it to three members, which send it to three more: a
+ * hundred have it at once, although each sends only a few messages. A VM that was partitioned gets
+ * it from the first member that it reaches.
  */
-static void a_configuration_spreads(void **state)
+static void test_configuration_spreads(void **state)
 {
 	field_t *field = field_new(100);
 	json_t *value = json_pack("{s:s}", "config", "x");
@@ -271,7 +275,7 @@
 	field->nodes[99].side = 1;
 	gossip_announce_config(field->nodes[5].gossip, 7, value);
 	field->nodes[5].config = 7;
-	settle(field);
+	deliver_all(field);
 	run_periods(field, 3);
 	for (uint32_t i = 0; i < field->count; i++)
 		have += field->nodes[i].config == 7;
@@ -283,31 +287,30 @@
 	field_free(field);
 }
 
-/* A searcher tells one VM that it leaves; the others hear it from that VM, once, and not for ever.
- */
-static void a_leaving_searcher_is_told(void **state)
+/* A searcher announces to one VM that it is draining; the others receive the note from that VM,
+ * once, and the note expires. */
+static void test_leaving_note_spreads(void **state)
 {
 	field_t *field = field_new(7);
 
 	(void)state;
 	run_periods(field, 10);
 	gossip_announce_leaving(field->nodes[2].gossip, "board", "board-0-0", wall_ms());
-	settle(field);
+	deliver_all(field);
 	run_periods(field, 3);
 	for (uint32_t i = 0; i < 7; i++) {
 		if (i != 2)
-			assert_string_equal(field->nodes[i].told_leaving, "board-0-0");
-		g_clear_pointer(&field->nodes[i].told_leaving, g_free);
+			assert_string_equal(field->nodes[i].leaving_upstream, "board-0-0");
+		g_clear_pointer(&field->nodes[i].leaving_upstream, g_free);
 	}
 	run_periods(field, 30);
-	/* A VM that is started now must not hear of it: the searcher may have been started anew,
-	 * too. */
+	/* A VM that starts now must not receive the note: the searcher may have restarted, too. */
 	gossip_free(field->nodes[6].gossip);
 	timeline_free(field->nodes[6].timeline);
 	start_node(field, 6, 2);
 	run_periods(field, 10);
 	for (uint32_t i = 0; i < 7; i++)
-		assert_null(field->nodes[i].told_leaving);
+		assert_null(field->nodes[i].leaving_upstream);
 	field_free(field);
 }
 
@@ -330,11 +333,11 @@
 }
 
 /*
- * A stranger, or something between, changes a frame: any one byte. It is not parsed, and nothing of
- * it is believed. While keys are rotated, frames under the previous key are taken, too; others
- * never.
+ * A frame with any one byte modified, by an unauthorised sender or on the network, is not parsed
+ * and has no effect. While keys are rotated, frames with the previous key are accepted, too, but
+ * none with any other key.
  */
-static void a_changed_frame_is_refused(void **state)
+static void test_modified_frame_rejected(void **state)
 {
 	GByteArray *frame = sample_frame("vm-1", KEY);
 	gossip_message_t *message;
@@ -359,9 +362,8 @@
 	g_byte_array_unref(frame);
 }
 
-/* A peer sends an empty name: the library gives no pointer for it, and none may be read. By
- * fuzzing. */
-static void an_empty_text_is_taken(void **state)
+/* A peer sends an empty name: msgpack gives a null pointer for it, which must not be read. */
+static void test_empty_name_accepted(void **state)
 {
 	GByteArray *frame = sample_frame("", KEY);
 	gossip_message_t *message = frame_decode(frame->data, frame->len, KEY, "");
@@ -374,11 +376,10 @@
 }
 
 /*
- * A peer that has the key sends fifteen bytes that declare a list of four thousand million items.
- * The library would ask for 128 GB for it; the frame is refused before it is unpacked. Found by
- * fuzzing.
+ * A peer that has the key sends fifteen bytes that declare an array of four thousand million items.
+ * msgpack would allocate 128 GB for it; the frame is rejected before it is unpacked.
  */
-static void a_huge_declaration_is_refused(void **state)
+static void test_huge_array_rejected(void **state)
 {
 	const uint8_t payload[] = {0x98, 0, 0, 0xdd, 0xff, 0, 1, 0, 0, 9, 10, 0};
 	GHmac *hmac = g_hmac_new(G_CHECKSUM_SHA256, (const guchar *)KEY, strlen(KEY));
@@ -407,9 +408,9 @@
 	return used;
 }
 
-/* What a VM sends in a second is bounded however many there are: 16 others a message at the most.
- */
-static void the_cost_is_flat(void **state)
+/* The bytes that a VM sends per second are bounded for any number of members: a message holds at
+ * most 16 other members. */
+static void test_cost_is_bounded(void **state)
 {
 	(void)state;
 	assert_true(bytes_a_second(100) < bytes_a_second(30) * 11 / 10);
@@ -418,15 +419,15 @@
 int main(int argc, char **argv)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(everyone_is_found),
-		cmocka_unit_test(the_dead_are_found_and_come_back),
-		cmocka_unit_test(a_cut_heals),
-		cmocka_unit_test(a_configuration_spreads),
-		cmocka_unit_test(a_leaving_searcher_is_told),
-		cmocka_unit_test(a_changed_frame_is_refused),
-		cmocka_unit_test(an_empty_text_is_taken),
-		cmocka_unit_test(a_huge_declaration_is_refused),
-		cmocka_unit_test(the_cost_is_flat),
+		cmocka_unit_test(test_all_members_discovered),
+		cmocka_unit_test(test_dead_member_restarts),
+		cmocka_unit_test(test_partition_heals),
+		cmocka_unit_test(test_configuration_spreads),
+		cmocka_unit_test(test_leaving_note_spreads),
+		cmocka_unit_test(test_modified_frame_rejected),
+		cmocka_unit_test(test_empty_name_accepted),
+		cmocka_unit_test(test_huge_array_rejected),
+		cmocka_unit_test(test_cost_is_bounded),
 	};
 	static const uint32_t sizes[] = {3, 7, 30, 100};
 
