--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -1,6 +1,6 @@
 /**
  * @file fleet_test.c
- * Who gathers, and what of the searchers' connections each VM takes, in fleets of 1 to 3,000 VMs.
+ * Which VMs gather, and each VM's share of the searchers' connections, in fleets of 1 to 3,000 VMs.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -56,7 +56,7 @@
 	g_ptr_array_add(site->vms, vm_new(&vm));
 }
 
-/* Uneven data centres: the first has half of the VMs, the last hardly any. */
+/* Data centres of uneven size: the first has half of the small VMs, the last hardly any. */
 static void fill(site_t *site, uint32_t small, uint32_t large_each)
 {
 	for (uint32_t i = 0; i < small; i++)
@@ -66,7 +66,7 @@
 			add(site, centres[i], 500, 200);
 }
 
-/* A few VMs of one size: all gather, and nobody hands over. */
+/* With a few VMs of one size, all gather, and none hands over. */
 static void test_few_gather_themselves(void **state)
 {
 	(void)state;
@@ -90,7 +90,7 @@
 	}
 }
 
-/* Large VMs gather for small ones: those of the same data centre come first. */
+/* Large VMs gather for small ones; those of the same data centre come first. */
 static void test_large_gather(void **state)
 {
 	site_t site;
@@ -116,8 +116,9 @@
 	site_end(&site);
 }
 
-/* One VM far above all others must not gather alone: a region loses its gatherers with it. */
-static void test_one_is_not_enough(void **state)
+/* A single VM that is far larger than all others must not be the only gatherer: if it fails, the
+ * region has none. */
+static void test_gatherers_min(void **state)
 {
 	site_t site;
 	g_autoptr(GPtrArray) gatherers = NULL;
@@ -132,7 +133,7 @@
 	site_end(&site);
 }
 
-/* Daemons of an earlier version gather for nobody. */
+/* Daemons of an earlier version do not gather for others. */
 static void test_earlier_versions(void **state)
 {
 	site_t site;
@@ -148,7 +149,7 @@
 	site_end(&site);
 }
 
-/* When VMs come and go, hardly any gatherer changes. */
+/* When a VM is added and one removed, at most two gatherers change. */
 static void test_stable(void **state)
 {
 	site_t site;
@@ -169,15 +170,15 @@
 	site_end(&site);
 }
 
-/** What one VM takes, as it works it out by itself. */
-typedef struct taken_t {
-	uint32_t connections; /* of one searcher */
-	double constant;      /* of the bound on retries */
+/** Share of one VM, as it computes it on its own. */
+typedef struct vm_share_t {
+	uint32_t connections; /* to one searcher */
+	double constant;      /* its part of the constant of the retry limit */
 	bool warms;
-} taken_t;
+} vm_share_t;
 
-static taken_t taken_by(const site_t *site, const vm_t *vm, const routing_t *routing,
-			const char *service)
+static vm_share_t vm_share_of(const site_t *site, const vm_t *vm, const routing_t *routing,
+			      const char *service)
 {
 	searcher_entry_t entry = {.id = "s",
 				  .service = (char *)service,
@@ -186,22 +187,22 @@
 				  .data_centre = "a1",
 				  .slots = 2};
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = 1000000};
-	const locality_t place = {.data_centre = vm->data_centre, .regions = site->regions};
+	const locality_t locality = {.data_centre = vm->data_centre, .regions = site->regions};
 	static const registry_ops_t ops = {0};
-	registry_t *registry = registry_new(&place, &bound, &ops, NULL);
+	registry_t *registry = registry_new(&locality, &bound, &ops, NULL);
 	pool_t *pool = registry_pool(registry, service);
 	searcher_t *searcher = searcher_new(&entry, DISTANCE_FAR, NULL, 0);
 	sharing_t sharing;
-	taken_t taken;
+	vm_share_t share;
 
 	g_ptr_array_add(pool->searchers, searcher);
 	sharing_take(&sharing, &site->fleet, vm->name, CONSTANT);
-	taken.warms = sharing_apply(&sharing, pool, routing);
-	taken.connections = searcher->connections_max;
-	taken.constant = pool->bound.constant;
+	share.warms = sharing_apply(&sharing, pool, routing);
+	share.connections = searcher->connections_max;
+	share.constant = pool->bound.constant;
 	sharing_clear(&sharing);
 	registry_free(registry);
-	return taken;
+	return share;
 }
 
 static route_t *add_route(routing_t *routing, const char *name, bool gathers)
@@ -215,7 +216,7 @@
 	return route;
 }
 
-/* A gather over one shard, and a service that is asked alone. */
+/* A gather over one shard, and a service that is queried alone. */
 static routing_t *routing_of_two(void)
 {
 	const service_terms_t terms = {.connections = SEARCHER_CONNECTIONS};
@@ -230,9 +231,9 @@
 }
 
 /*
- * VMs that gather would otherwise connect to a searcher more often than it takes, and it would
- * reset what is beyond; and all VMs together would break the bound on retries. At any size of the
- * fleet, and of any mix of large and small VMs. Where there are more VMs than connections, each
+ * Otherwise gatherers would open more connections to a searcher than it accepts, which resets the
+ * excess ones, and all VMs together would exceed the retry limit. This must hold for any size of
+ * the fleet and any mix of large and small VMs. Where there are more VMs than connections, each
  * holds one.
  */
 static void check_sums(const site_t *site, const routing_t *routing, const char *service)
@@ -241,10 +242,11 @@
 	double constant = 0;
 
 	for (guint i = 0; i < site->vms->len; i++) {
-		taken_t taken = taken_by(site, g_ptr_array_index(site->vms, i), routing, service);
+		vm_share_t share =
+			vm_share_of(site, g_ptr_array_index(site->vms, i), routing, service);
 
-		connections += taken.warms ? taken.connections : 0;
-		constant += taken.constant;
+		connections += share.warms ? share.connections : 0;
+		constant += share.constant;
 	}
 	assert_true(connections <= MAX(SEARCHER_CONNECTIONS, site->vms->len));
 	assert_true(constant <= CONSTANT);
@@ -270,8 +272,8 @@
 	routing_unref(routing);
 }
 
-/* The same for 3,000 VMs, by those that gather: each VM works it out for all, which takes its time.
- */
+/* The same for 3,000 VMs, but only for the gatherers: each share is computed from the whole list of
+ * VMs, which takes long. */
 static void test_sums_of_thousands(void **state)
 {
 	routing_t *routing = routing_of_two();
@@ -284,7 +286,7 @@
 	fill(&site, 3000, 4);
 	gatherers = gatherers_in_fleet(&site.fleet);
 	for (guint i = 0; i < gatherers->len; i++)
-		connections += taken_by(&site, g_ptr_array_index(gatherers, i), routing, "shard")
+		connections += vm_share_of(&site, g_ptr_array_index(gatherers, i), routing, "shard")
 				       .connections;
 	assert_true(gatherers->len >= 6);
 	assert_true(connections <= SEARCHER_CONNECTIONS);
@@ -292,9 +294,9 @@
 	routing_unref(routing);
 }
 
-/* Of a shard, VMs that gather hold connections ahead and the others none; of a service that is
- * asked alone, all do. */
-static void test_who_warms(void **state)
+/* For a shard, gatherers open connections ahead of requests and other VMs do not; for a service
+ * that is queried alone, all VMs do. */
+static void test_connections_ahead(void **state)
 {
 	routing_t *routing = routing_of_two();
 	site_t site;
@@ -304,32 +306,32 @@
 	fill(&site, 60, 2);
 	for (guint i = 0; i < site.vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(site.vms, i);
-		taken_t shard = taken_by(&site, vm, routing, "shard");
+		vm_share_t shard = vm_share_of(&site, vm, routing, "shard");
 
 		assert_int_equal(shard.warms, vm->processor_milli == 500);
 		if (!shard.warms)
 			assert_int_equal(shard.connections, 1);
-		assert_true(taken_by(&site, vm, routing, "alone").warms);
+		assert_true(vm_share_of(&site, vm, routing, "alone").warms);
 	}
 	site_end(&site);
 	routing_unref(routing);
 }
 
 /*
- * Three hundred VMs start together, and no list of them is known yet: each may hold one connection
- * and has no part of the constant, however many they are, and not a share of what a number that was
- * assumed gives.
+ * Three hundred VMs start at the same time, before any list of them is known. Each may hold one
+ * connection and has no part of the constant of the retry limit, however many they are: neither
+ * follows from an assumed number of VMs.
  */
 static void test_before_the_list(void **state)
 {
 	routing_t *routing = routing_of_two();
 	const vm_t vm = {.name = "vm", .data_centre = "a1"};
 	site_t site;
-	taken_t taken;
+	vm_share_t taken;
 
 	(void)state;
 	site_start(&site);
-	taken = taken_by(&site, &vm, routing, "shard");
+	taken = vm_share_of(&site, &vm, routing, "shard");
 	assert_int_equal(taken.connections, 1);
 	assert_false(taken.warms);
 	assert_true(taken.constant <= 0);
@@ -340,25 +342,25 @@
 /* ---- cold searchers ---- */
 
 #define COLD_SEARCHERS 3
-#define PLAYED_S 120
+#define SIMULATED_S 120
 #define SECOND_US 1000000ull
 #define COLD_STEP_US 20000
 #define STALE_MOST_US 9000000
 
-/** A VM as the fleet has it: when it registers, and which list it has read. */
-typedef struct presser_t {
+/** A simulated VM: when it registers, and which list of VMs it has read. */
+typedef struct cold_sender_t {
 	uint64_t registers_us; /* at the store, after its start */
 	uint64_t next_list_us;
 	cold_members_t members;
 	GPtrArray *listed;		 /* vm_t, borrowed */
-	uint32_t shares[COLD_SEARCHERS]; /* by that list */
+	uint32_t shares[COLD_SEARCHERS]; /* computed from that list */
 	uint64_t next_us[COLD_SEARCHERS];
-	bool cut; /* off from the store: its list stays as it is */
-} presser_t;
+	bool cut; /* cannot reach the store: its list is not updated any more */
+} cold_sender_t;
 
-/* All that had registered by @p as_of_us. */
-static void press_list(const GPtrArray *vms, const presser_t *all, presser_t *one,
-		       const cold_bound_t *bound, uint64_t as_of_us, uint64_t now_us)
+/* Reads the list of all VMs that had registered by @p as_of_us. */
+static void refresh_list(const GPtrArray *vms, const cold_sender_t *all, cold_sender_t *one,
+			 const cold_bound_t *bound, uint64_t as_of_us, uint64_t now_us)
 {
 	static const char *const ids[COLD_SEARCHERS] = {"s-1", "s-2", "s-3"};
 
@@ -373,8 +375,9 @@
 		one->shares[i] = cold_share_of(&one->members, bound, ids[i]);
 }
 
-/* Sends whatever it may, to each searcher; the sendings are counted in @p sent. */
-static void press(presser_t *one, const cold_bound_t *bound, uint64_t now_us, GArray **sent)
+/* Sends as much as allowed to each searcher and appends the times to @p sent. */
+static void send_to_cold(cold_sender_t *one, const cold_bound_t *bound, uint64_t now_us,
+			 GArray **sent)
 {
 	if (!cold_share_is_trusted(&one->members, now_us))
 		return;
@@ -399,11 +402,12 @@
 	return most;
 }
 
-static void play_pressers(guint count, double per_s, uint32_t seed, uint32_t *most, uint32_t *sum)
+static void simulate_cold_senders(guint count, double per_s, uint32_t seed, uint32_t *most,
+				  uint32_t *sum)
 {
 	const cold_bound_t bound = {.per_s = per_s, .gathered = seed % 2 == 0};
 	g_autoptr(GPtrArray) vms = g_ptr_array_new_with_free_func(vm_free);
-	presser_t *all = g_new0(presser_t, count);
+	cold_sender_t *all = g_new0(cold_sender_t, count);
 	GArray *sent[COLD_SEARCHERS];
 	GRand *rand = g_rand_new_with_seed(seed);
 
@@ -413,7 +417,7 @@
 	for (guint i = 0; i < count; i++) {
 		g_autofree char *name = g_strdup_printf("vm-%u", i);
 		bool large = g_rand_int_range(rand, 0, 5) == 0;
-		/* Most start together; others come later, one by one or as many at once. */
+		/* Most start together; others start later, one by one or many at once. */
 		double at_s = i < count / 2 ? 0 : (i % 3 ? 45 : g_rand_double_range(rand, 0, 100));
 		const vm_t vm = {.name = name,
 				 .data_centre = i % 7 ? "a" : "b",
@@ -430,24 +434,24 @@
 		all[i].next_list_us = all[i].registers_us;
 		all[i].cut = i % 11 == 10;
 	}
-	for (uint64_t now_us = COLD_STEP_US; now_us < PLAYED_S * SECOND_US;
+	for (uint64_t now_us = COLD_STEP_US; now_us < SIMULATED_S * SECOND_US;
 	     now_us += COLD_STEP_US) {
 		for (guint i = 0; i < count; i++) {
-			presser_t *one = &all[i];
+			cold_sender_t *one = &all[i];
 
 			if (now_us >= one->next_list_us) {
 				uint64_t stale_us = (uint64_t)g_rand_int_range(
 					rand, 0, one->members.listed_us ? STALE_MOST_US : 1);
 
-				press_list(vms, all, one, &bound, now_us - MIN(stale_us, now_us),
-					   now_us);
+				refresh_list(vms, all, one, &bound, now_us - MIN(stale_us, now_us),
+					     now_us);
 				one->next_list_us =
 					one->cut && now_us > 40 * SECOND_US
 						? UINT64_MAX
 						: now_us + (one->members.listed_us ? 12 : 2) *
 								   SECOND_US;
 			}
-			press(one, &bound, now_us, sent);
+			send_to_cold(one, &bound, now_us, sent);
 		}
 	}
 	for (int i = 0; i < COLD_SEARCHERS; i++) {
@@ -462,10 +466,11 @@
 }
 
 /*
- * A cold searcher crashes again: each VM sent it what seemed its part, by a list of VMs that others
- * had not read, or no longer went by. Here VMs start together, come one by one and by the hundred,
- * read old lists, and lose the store; each sends whatever it may. Together they never exceed what
- * the searcher bears, and in a fleet that is known they use it.
+ * Guards against a cold searcher that crashes again because each VM sent it what seemed to be its
+ * share, computed from a list of VMs that others had not read or no longer used. VMs start
+ * together, one by one and by the hundred, read outdated lists, and lose the store; each sends as
+ * much as allowed. Together they never exceed what the searcher can take, and small fleets use it
+ * once their list is known.
  */
 static void test_cold_shares(void **state)
 {
@@ -479,7 +484,7 @@
 
 			if (counts[i] == 3000 && rates[j] != 4)
 				continue;
-			play_pressers(counts[i], rates[j], (uint32_t)(i + j), &most, &sum);
+			simulate_cold_senders(counts[i], rates[j], (uint32_t)(i + j), &most, &sum);
 			if (most > bears)
 				fail_msg("%u VMs, %.2f a second: %u in one second", counts[i],
 					 rates[j], most);
@@ -494,12 +499,12 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_few_gather_themselves),
 		cmocka_unit_test(test_large_gather),
-		cmocka_unit_test(test_one_is_not_enough),
+		cmocka_unit_test(test_gatherers_min),
 		cmocka_unit_test(test_earlier_versions),
 		cmocka_unit_test(test_stable),
 		cmocka_unit_test(test_sums),
 		cmocka_unit_test(test_sums_of_thousands),
-		cmocka_unit_test(test_who_warms),
+		cmocka_unit_test(test_connections_ahead),
 		cmocka_unit_test(test_before_the_list),
 		cmocka_unit_test(test_cold_shares),
 	};
