--- a/src/core/gatherer_choice.c
+++ b/src/core/gatherer_choice.c
@@ -17,7 +17,7 @@
 /* Share of a searcher's connections that gatherers may use. The rest is left for VMs that gather
  * themselves because they reach no gatherer, and for gatherers that start before others have closed
  * their connections. */
-#define CONNECTIONS_USED_SHARE 0.9
+#define GATHERER_CONNECTIONS_SHARE 0.9
 /* Minimum in each region, so that one may fail. */
 #define GATHERERS_MIN 2
 
@@ -92,7 +92,7 @@
  * connections suffice for. */
 static guint gatherers_max_in_region(const fleet_t *fleet, const char *region)
 {
-	double max = fleet->connections * CONNECTIONS_USED_SHARE / CONNECTIONS_PER_GATHERER;
+	double max = fleet->connections * GATHERER_CONNECTIONS_SHARE / CONNECTIONS_PER_GATHERER;
 	double share = (double)count_of_region(fleet, region) / MAX(fleet->vms->len, 1);
 
 	if (!fleet->connections)
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -136,16 +136,16 @@
 static uint32_t connections_allowed(const candidates_t *candidates, uint64_t now_us)
 {
 	const GPtrArray *searchers = candidates->pool->searchers;
-	uint32_t most = 0;
+	uint32_t sum = 0;
 
 	for (guint i = 0; i < searchers->len; i++) {
 		const searcher_t *searcher = g_ptr_array_index(searchers, i);
 
 		if (is_eligible(searcher, candidates->route) &&
 		    !is_cold_limited(searcher, candidates->pool, now_us))
-			most += searcher->connections_max;
+			sum += searcher->connections_max;
 	}
-	return most;
+	return sum;
 }
 
 /* Each waiting part needs a connection for the typical latency. */
--- a/src/core/searcher.c
+++ b/src/core/searcher.c
@@ -10,7 +10,7 @@
  * apart, a searcher that turned slow is avoided after two answers. Where answers are frequent, a
  * single one delayed by a pause hardly counts, and a lasting slowdown is still detected within a
  * second. */
-#define LATENCY_TIME_CONSTANT_US 2500000.0
+#define SEARCHER_LATENCY_TIME_CONSTANT_US 2500000.0
 #define LATENCY_WEIGHT_MIN 0.05
 /* Backoff after a failure, doubled with each consecutive failure. */
 #define AVOID_FIRST_US 100000
@@ -92,7 +92,8 @@
 void searcher_record_latency(searcher_t *searcher, uint64_t latency_us, uint64_t now_us)
 {
 	double age_us = (double)(now_us - searcher->sampled_us);
-	double weight = MAX(1 - exp(-age_us / LATENCY_TIME_CONSTANT_US), LATENCY_WEIGHT_MIN);
+	double weight =
+		MAX(1 - exp(-age_us / SEARCHER_LATENCY_TIME_CONSTANT_US), LATENCY_WEIGHT_MIN);
 	double sample_us = (double)MAX(latency_us, 1);
 
 	/* Averages ratios, so that a sample of twice and one of half the latency cancel out. */
