--- a/src/core/gossip.c
+++ b/src/core/gossip.c
@@ -152,7 +152,7 @@
 	return gossip->members;
 }
 
-/* ---- messages out ---- */
+/* ---- outgoing messages ---- */
 
 static void add_members(gossip_t *gossip, gossip_message_t *message)
 {
@@ -317,7 +317,7 @@
 	}
 }
 
-/* ---- searchers that leave ---- */
+/* ---- draining searchers ---- */
 
 static leaving_note_t *find_note(const gossip_t *gossip, const char *service, const char *upstream)
 {
@@ -372,7 +372,7 @@
 	send_to_random(gossip, FANOUT_UPDATE, false);
 }
 
-/* ---- in and out ---- */
+/* ---- sending and receiving ---- */
 
 void gossip_tick(gossip_t *gossip, uint64_t now_us)
 {
--- a/src/core/hop_message.c
+++ b/src/core/hop_message.c
@@ -75,7 +75,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* ---- reading ---- */
+/* ---- decoding ---- */
 
 /** The fields of a message, read one after the other. */
 typedef struct fields_t {
--- a/src/core/searcher.h
+++ b/src/core/searcher.h
@@ -33,7 +33,7 @@
 	uint64_t born_ms; /**< when its process started, which distinguishes incarnations under one
 			   * id; 0: not given, the id is unique to one incarnation */
 	char *service;
-	char *address; /**< an IP number */
+	char *address; /**< an IP address */
 	uint16_t port;
 	char *data_centre;
 	uint32_t slots; /**< requests it processes concurrently */
--- a/src/core/vm.h
+++ b/src/core/vm.h
@@ -12,7 +12,7 @@
 typedef struct vm_t {
 	char *name;
 	char *data_centre;
-	char *address;		  /**< an IP number */
+	char *address;		  /**< an IP address */
 	uint16_t feed_port;	  /**< where it serves the feed to subscribers */
 	uint16_t gather_port;	  /**< where it gathers for other VMs; 0: it does not */
 	uint32_t link_mbps;	  /**< bandwidth of its network link; 0: not known */
