--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -76,7 +76,7 @@
 static uint64_t caller_retry_us(const forward_t *forward, missing_resource_t lack, uint64_t now_us)
 {
 	return retry_after_us(lack, forward_time_left_us(forward, now_us),
-			      registry_is_store_away(forward->forwarder->registry));
+			      registry_is_store_unreachable(forward->forwarder->registry));
 }
 
 void forward_refuse(forward_t *forward, forward_outcome_t outcome, uint64_t now_us)
--- a/src/core/forward.h
+++ b/src/core/forward.h
@@ -54,8 +54,8 @@
 
 /** A sub-request that was sent. */
 typedef struct subrequest_t {
-	sending_t sending;  /* must be first: a searcher's queue holds pointers to it */
-	forward_t *forward; /**< NULL once the request was answered without this sub-request */
+	outstanding_t sending; /* must be first: a searcher's queue holds pointers to it */
+	forward_t *forward;    /**< NULL once the request was answered without this sub-request */
 	fingerprint_t fingerprint;   /**< of the caller's request */
 	struct route_state_t *route; /**< measurements of its route; outlives the request */
 	uint32_t part;
--- a/src/core/forward_suspect.c
+++ b/src/core/forward_suspect.c
@@ -122,7 +122,7 @@
 	part_t *part = held_part(forward);
 	const candidates_t candidates = part_candidates(part);
 
-	if (forward->probe || placement_is_all_probed(&candidates))
+	if (forward->probe || placement_all_probed(&candidates))
 		return;
 	if (!forward->has_turn)
 		request_send_permission(forward, now_us);
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -169,7 +169,7 @@
 	route_state_note_time(sub->route, took_us, expected_us);
 	if (is_unexpected)
 		forwarder_share_observation(forwarder, sub, OBSERVATION_ANSWERED, now_us);
-	searcher_note_answer(sub->searcher, took_us, now_us);
+	searcher_record_answer(sub->searcher, took_us, now_us);
 	quantile_add(&sub->pool->typical, took_us);
 	latency_buckets_add(&sub->pool->latency, took_us);
 }
@@ -249,13 +249,13 @@
 		measure_answer(forwarder, sub, took_us, now_us);
 		break;
 	case SUB_NOT_RUN:
-		searcher_note_refusal(sub->searcher, now_us);
+		searcher_record_refusal(sub->searcher, now_us);
 		break;
 	case SUB_REPLACED:
-		registry_note_replaced(forwarder->registry, sub->searcher);
+		registry_mark_replaced(forwarder->registry, sub->searcher);
 		break;
 	default:
-		searcher_note_failure(sub->searcher, now_us);
+		searcher_record_failure(sub->searcher, now_us);
 	}
 }
 
@@ -288,7 +288,7 @@
 		part_t *part = item->data;
 		const candidates_t candidates = part_candidates(part);
 
-		if (!placement_is_possible(&candidates))
+		if (!placement_has_candidate(&candidates))
 			return part;
 	}
 	return NULL;
@@ -337,7 +337,7 @@
 {
 	timer_entry_t *timer = &forwarder->cold_timer;
 
-	if (at_us != UINT64_MAX && (!timer->place || at_us < timer->at_us))
+	if (at_us != UINT64_MAX && (!timer->heap_position || at_us < timer->at_us))
 		timers_set(&forwarder->timers, timer, at_us);
 }
 
@@ -357,7 +357,8 @@
 		if (pool->waiting.length) {
 			const candidates_t candidates = part_candidates(pool->waiting.head->data);
 
-			forwarder_dispatch_at(forwarder, placement_warm_us(&candidates, now_us));
+			forwarder_dispatch_at(forwarder,
+					      placement_next_cold_send_us(&candidates, now_us));
 		}
 	}
 }
@@ -405,7 +406,7 @@
 		part_t *part = &forward->parts[i];
 		const candidates_t candidates = part_candidates(part);
 
-		if (part->state == PART_WAITING && !placement_is_possible(&candidates))
+		if (part->state == PART_WAITING && !placement_has_candidate(&candidates))
 			part_lose(part);
 	}
 }
@@ -439,7 +440,7 @@
 {
 	forward_t forward = {.forwarder = forwarder, .request = *request, .owner = owner};
 	forward_answer_t answer = {.outcome = outcome};
-	bool away = registry_is_store_away(forwarder->registry);
+	bool away = registry_is_store_unreachable(forwarder->registry);
 
 	if (outcome == FORWARD_NOT_READY)
 		answer.retry_after_us = retry_after_us(MISSING_STATE, request->patience_us, away);
@@ -463,7 +464,7 @@
 		const part_t *part = &forward->parts[i];
 		const candidates_t candidates = part_candidates(part);
 
-		if (part->state == PART_WAITING && !placement_has_room(&candidates, now_us))
+		if (part->state == PART_WAITING && !placement_has_capacity(&candidates, now_us))
 			hopeless += part_would_miss_deadline(part, now_us);
 	}
 	return !forward_has_enough(forward, forward->part_count - hopeless);
@@ -473,7 +474,7 @@
 {
 	const candidates_t candidates = part_candidates(part);
 
-	return placement_wait_us(&candidates, now_us);
+	return placement_queue_delay_us(&candidates, now_us);
 }
 
 /* The part without a free connection that would wait longest, or NULL. */
@@ -520,7 +521,7 @@
 		answer_unrouted(forwarder, request, owner, FORWARD_SHUTTING_DOWN);
 		return NULL;
 	}
-	if (!forwarder->routing || !registry_is_known(forwarder->registry)) {
+	if (!forwarder->routing || !registry_is_ready(forwarder->registry)) {
 		answer_unrouted(forwarder, request, owner, FORWARD_NOT_READY);
 		return NULL;
 	}
--- a/src/core/sharing.c
+++ b/src/core/sharing.c
@@ -25,7 +25,7 @@
 void sharing_update(sharing_t *sharing, const fleet_t *fleet, const char *own_name,
 		    uint32_t constant)
 {
-	g_autoptr(GPtrArray) gatherers = gatherers_of_all(fleet);
+	g_autoptr(GPtrArray) gatherers = gatherers_in_fleet(fleet);
 	bool few = gatherers->len < fleet->vms->len;
 
 	sharing->constant = CONSTANT_USED_SHARE * constant;
@@ -80,9 +80,9 @@
 		searcher_t *searcher = g_ptr_array_index(pool->searchers, i);
 
 		if (now_us >= searcher->cold_until_us ||
-		    searcher->cold_fleet == sharing->fleet_version)
+		    searcher->cold_fleet_version == sharing->fleet_version)
 			continue;
-		searcher->cold_fleet = sharing->fleet_version;
+		searcher->cold_fleet_version = sharing->fleet_version;
 		searcher->cold_share = sharing->list_current
 					       ? cold_share_of(members, &pool->cold, searcher->id)
 					       : 0;
--- a/src/core/shedding.c
+++ b/src/core/shedding.c
@@ -32,7 +32,8 @@
 	const candidates_t candidates = part_candidates(part);
 	const pool_t *pool = part->pool;
 	double wait_factor = MIN(1 + SHED_SHARE_FACTOR * pool->shed_share, MAX_SHED_WAIT_FACTOR);
-	double takes_us = placement_wait_us(&candidates, now_us) + placement_typical_us(pool);
+	double takes_us =
+		placement_queue_delay_us(&candidates, now_us) + placement_typical_us(pool);
 
 	return now_us + (uint64_t)(wait_factor * takes_us) > part->forward->partial_us;
 }
@@ -44,7 +45,7 @@
 
 void shedding_note_wait(pool_t *pool, uint64_t now_us)
 {
-	pool->short_us = now_us;
+	pool->last_exhausted_us = now_us;
 }
 
 void shedding_note_part(pool_t *pool, bool shed)
@@ -54,5 +55,5 @@
 
 bool shedding_is_on(const pool_t *pool, uint64_t now_us)
 {
-	return pool->short_us && now_us - pool->short_us < OVERLOAD_HOLD_US;
+	return pool->last_exhausted_us && now_us - pool->last_exhausted_us < OVERLOAD_HOLD_US;
 }
--- a/src/core/sighting.c
+++ b/src/core/sighting.c
@@ -67,11 +67,11 @@
 	if (!searcher || searcher->born_ms != observation->born_ms)
 		return;
 	if (observation->type == OBSERVATION_ANSWERED)
-		searcher_note_heard(searcher, after_us, now_us);
+		searcher_record_latency(searcher, after_us, now_us);
 	else if (answered_since(searcher, after_us, now_us))
 		return;
 	else if (observation->type == OBSERVATION_HUNG)
-		searcher_note_hang(searcher, now_us);
+		searcher_record_hang(searcher, now_us);
 	else if (after_us < SEARCHER_PAUSE_US)
 		searcher->stuck_until_us = now_us + SEARCHER_PAUSE_US - after_us;
 }
--- a/src/core/sub.c
+++ b/src/core/sub.c
@@ -69,7 +69,7 @@
  */
 static bool implicates_searcher(const subrequest_t *sub)
 {
-	return sub->searcher->served_us <= sub->sending.sent_us &&
+	return sub->searcher->last_served_sent_us <= sub->sending.sent_us &&
 	       route_state_implicates_searcher(sub->route);
 }
 
@@ -83,13 +83,13 @@
 		return;
 	route_state_note_hang(sub->route, true);
 	if (!counts) {
-		searcher_note_failure(sub->searcher, now_us);
+		searcher_record_failure(sub->searcher, now_us);
 		return;
 	}
 	observation_filter_note(&forwarder->observation_filter, true, now_us);
 	if (now_us >= sub->searcher->avoid_until_us)
 		forwarder_share_observation(forwarder, sub, OBSERVATION_HUNG, now_us);
-	searcher_note_hang(sub->searcher, now_us);
+	searcher_record_hang(sub->searcher, now_us);
 }
 
 static void note_stuck(void *ctx, uint64_t now_us)
@@ -106,7 +106,8 @@
 /* From now on a crash of the searcher may be due to the new sub-request. */
 static void clear_isolated(searcher_t *searcher)
 {
-	for (const GList *item = searcher->out.head; item && searcher->probes; item = item->next) {
+	for (const GList *item = searcher->outstanding.head; item && searcher->probes;
+	     item = item->next) {
 		subrequest_t *other = item->data;
 
 		searcher->probes -= other->isolated;
@@ -126,7 +127,7 @@
 	sub->part = (uint32_t)(part - part->forward->parts);
 	sub->purpose = purpose;
 	clear_isolated(searcher);
-	sub->isolated = part->forward->probe == part && !searcher->out.length;
+	sub->isolated = part->forward->probe == part && !searcher->outstanding.length;
 	searcher->probes += sub->isolated;
 	sub->on_trial = forward_is_on_trial(part);
 	sub->searcher = searcher_ref(searcher);
@@ -137,7 +138,7 @@
 	sub->hang_timer = (timer_entry_t){.fire = note_stuck, .ctx = sub};
 	timers_set(&sub->forwarder->hang_timers, &sub->hang_timer,
 		   now_us + placement_stuck_us(searcher, part->pool, now_us));
-	g_queue_push_tail_link(&searcher->out, &sub->sending.link);
+	g_queue_push_tail_link(&searcher->outstanding, &sub->sending.link);
 	return sub;
 }
 
@@ -145,7 +146,7 @@
 {
 	timers_cancel(&sub->forwarder->timers, &sub->cancel_timer);
 	timers_cancel(&sub->forwarder->hang_timers, &sub->hang_timer);
-	g_queue_unlink(&sub->searcher->out, &sub->sending.link);
+	g_queue_unlink(&sub->searcher->outstanding, &sub->sending.link);
 	sub->searcher->probes -= sub->isolated;
 	searcher_unref(sub->searcher);
 	g_free(sub);
--- a/src/queries/front_log.c
+++ b/src/queries/front_log.c
@@ -97,8 +97,8 @@
 		request->id ? request->id : "", forward_outcome_name(answer->outcome),
 		forward_outcome_status(answer->outcome), now_us - request->received_us,
 		request->patience_us, answer->parts, answer->missing,
-		handover->gatherer ? handover->gatherer->vm->name : "nobody", handover->asked->len,
-		handover->taken, now_us - handover->begun_us, store_age_us);
+		handover->gatherer ? handover->gatherer->vm->name : "nobody", handover->tried->len,
+		handover->accepted, now_us - handover->begun_us, store_age_us);
 	append_fingerprint(line, request->fingerprint);
 	g_log(NULL, whole ? G_LOG_LEVEL_INFO : G_LOG_LEVEL_MESSAGE, "%s", line->str);
 }
@@ -129,7 +129,8 @@
 			       sub->forward ? sub->forward->request.id : "-", sub->pool->service,
 			       sub->searcher->id, sub_purpose_name(sub->purpose),
 			       sub_outcome_name(reply->outcome), reply->status,
-			       loop_now_us() - sub->sending.sent_us, sub->searcher->out.length);
+			       loop_now_us() - sub->sending.sent_us,
+			       sub->searcher->outstanding.length);
 	append_load(line, &sub->searcher->load);
 	append_fingerprint(line, sub->fingerprint);
 	g_log(NULL, failed ? G_LOG_LEVEL_MESSAGE : G_LOG_LEVEL_INFO, "%s", line->str);
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -205,7 +205,7 @@
 					    .poison = &poison_ops};
 	fixture_t *fixture = g_new0(fixture_t, 1);
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = BOUND_WINDOW_US, .constant = 2};
-	place_t place = {.data_centre = "here"};
+	locality_t place = {.data_centre = "here"};
 
 	fixture->out = out;
 	fixture->now_us = 1000000000;
@@ -327,13 +327,13 @@
 	registry_put(fixture->registry, &entry, fixture->now_us);
 	searcher = registry_find(fixture->registry, id);
 	if (searcher)
-		searcher->connections_most = MAX(searcher->connections_most, 8);
+		searcher->connections_max = MAX(searcher->connections_max, 8);
 }
 
 static void do_searcher(void *ctx, char **words)
 {
 	fixture_t *fixture = ctx;
-	if (!registry_is_known(fixture->registry)) {
+	if (!registry_is_ready(fixture->registry)) {
 		registry_list_begin(fixture->registry);
 		registry_list_end(fixture->registry, fixture->now_us);
 	}
@@ -435,7 +435,7 @@
 {
 	fixture_t *fixture = ctx;
 	(void)words;
-	registry_store_back(fixture->registry, fixture->now_us);
+	registry_store_recovered(fixture->registry, fixture->now_us);
 }
 
 static void do_room(void *ctx, char **words)
@@ -443,7 +443,7 @@
 	fixture_t *fixture = ctx;
 	searcher_t *searcher = registry_find(fixture->registry, words[1]);
 
-	searcher->connections_most = (uint32_t)atoi(words[2]);
+	searcher->connections_max = (uint32_t)atoi(words[2]);
 	forwarder_dispatch_waiting(fixture->forwarder, searcher->service, fixture->now_us);
 }
 
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -1,18 +1,18 @@
 /**
  * @file handover_test.c
- * Plays the scripts of tests/handover over the course of requests that other VMs gather: no
- * sockets, and time as the script says.
+ * Runs the scripts of tests/handover against the hand-over of requests to other VMs, without
+ * sockets and with a simulated clock.
  *
  * A script holds commands and, after "> ", the lines that they must print. Commands:
  *
- *     gatherers NAME[@DATA_CENTRE]...   who gathers for this VM, best first
- *     there NAME                        it says that it is there
+ *     gatherers NAME[@DATA_CENTRE]...   the gatherers for this VM, best first
+ *     there NAME                        the gatherer answers a ping
  *     request ID DEADLINE_MS TARGET_MS ATTEMPTS
  *     taken NAME ID [VERSION], refuses NAME ID REASON, answer NAME ID END
- *     leaving NAME, lost NAME           it stops, or its connection ends
- *     leave ID                          the caller goes away
- *     at MS                             time passes up to then, each timer at its moment
- *     stand MS                          this VM stands still up to then
+ *     leaving NAME, lost NAME           the gatherer stops, or its connection ends
+ *     leave ID                          the caller leaves
+ *     at MS                             advances the clock to MS, firing each timer when it is due
+ *     stand MS                          this VM is suspended until MS
  */
 #include "core/handover.h"
 #include "playbook.h"
@@ -42,11 +42,12 @@
 static void on_send(void *ctx, handover_t *handover)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> send %s to=%s again=%d%s\n",
-			       (char *)handover->owner, name_of(handover), handover->unknown,
+			       (char *)handover->owner, name_of(handover),
+			       handover->outcome_unknown,
 			       handovers_version(handover->all) ? " not-by-older" : "");
 }
 
-static void on_go(void *ctx, handover_t *handover, uint32_t more)
+static void on_grant(void *ctx, handover_t *handover, uint32_t more)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> go %s to=%s more=%u\n",
 			       (char *)handover->owner, name_of(handover), more);
@@ -58,13 +59,13 @@
 			       name_of(handover));
 }
 
-static void on_silent(void *ctx, const handover_t *handover, uint64_t after_us)
+static void on_unresponsive(void *ctx, const handover_t *handover, uint64_t after_us)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> silent %s after_ms=%d\n", name_of(handover),
 			       (int)(after_us / 1000));
 }
 
-static void on_not_taken(void *ctx, const handover_t *handover, hop_reason_t reason)
+static void on_rejected(void *ctx, const handover_t *handover, hop_reason_t reason)
 {
 	(void)ctx;
 	(void)handover;
@@ -89,7 +90,7 @@
 	g_hash_table_remove(play->open, handover->owner);
 }
 
-static void on_newer(void *ctx, uint64_t version)
+static void on_newer_version(void *ctx, uint64_t version)
 {
 	g_string_append_printf(((play_t *)ctx)->out, "> newer %d\n", (int)version);
 }
@@ -97,13 +98,13 @@
 static void *play_new(GString *out)
 {
 	static const handover_ops_t ops = {.send = on_send,
-					   .go = on_go,
+					   .grant = on_grant,
 					   .cancel = on_cancel,
-					   .silent = on_silent,
-					   .not_taken = on_not_taken,
+					   .unresponsive = on_unresponsive,
+					   .rejected = on_rejected,
 					   .answer = on_answer,
 					   .gather_here = on_gather_here,
-					   .newer = on_newer};
+					   .newer_version = on_newer_version};
 	play_t *play = g_new0(play_t, 1);
 
 	play->out = out;
@@ -155,7 +156,7 @@
 	}
 }
 
-static gatherer_t *find(play_t *play, const char *name)
+static gatherer_t *find_gatherer(play_t *play, const char *name)
 {
 	gatherer_t *gatherer = g_hash_table_lookup(play->known, name);
 
@@ -164,34 +165,34 @@
 	return gatherer;
 }
 
-static void hear(play_t *play, const char *name, const char *id, hop_message_t message)
+static void receive(play_t *play, const char *name, const char *id, hop_message_t message)
 {
 	static uint64_t serial_of_none;
 	const handover_t *handover = id ? g_hash_table_lookup(play->open, id) : NULL;
 
 	message.serial = handover ? handover->serial : serial_of_none;
-	handovers_heard(play->all, find(play, name), &message, play->now_us);
+	handovers_receive(play->all, find_gatherer(play, name), &message, play->now_us);
 }
 
 static void do_there(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	gatherer_t *gatherer = find(play, words[1]);
+	gatherer_t *gatherer = find_gatherer(play, words[1]);
 
 	if (gatherer->state == GATHERER_CLOSED)
-		gatherer->state = GATHERER_OPENS;
-	hear(play, words[1], NULL, (hop_message_t){.type = HOP_PONG});
+		gatherer->state = GATHERER_PINGED;
+	receive(play, words[1], NULL, (hop_message_t){.type = HOP_PONG});
 }
 
 static void do_request(void *ctx, char **words)
 {
 	play_t *play = ctx;
-	const handover_terms_t terms = {.deadline_us =
-						play->now_us + strtoull(words[2], NULL, 10) * 1000,
-					.target_us = strtoull(words[3], NULL, 10) * 1000,
-					.attempts_most = (uint32_t)atoi(words[4])};
+	const handover_limits_t limits = {.deadline_us = play->now_us +
+							 strtoull(words[2], NULL, 10) * 1000,
+					  .target_us = strtoull(words[3], NULL, 10) * 1000,
+					  .attempts_max = (uint32_t)atoi(words[4])};
 	char *id = (char *)g_intern_string(words[1]);
-	handover_t *handover = handover_begin(play->all, &terms, id, play->now_us);
+	handover_t *handover = handover_begin(play->all, &limits, id, play->now_us);
 
 	if (handover)
 		g_hash_table_insert(play->open, id, handover);
@@ -201,20 +202,20 @@
 
 static void do_taken(void *ctx, char **words)
 {
-	hop_message_t message = {.type = HOP_TAKEN};
+	hop_message_t message = {.type = HOP_ACCEPTED};
 
 	message.version = words[3] ? strtoull(words[3], NULL, 10) : 0;
-	hear(ctx, words[1], words[2], message);
+	receive(ctx, words[1], words[2], message);
 }
 
 static void do_refuses(void *ctx, char **words)
 {
-	hop_message_t message = {.type = HOP_NOT_TAKEN};
+	hop_message_t message = {.type = HOP_REJECTED};
 
 	for (int i = 0; i < HOP_REASONS; i++)
 		if (g_str_equal(reasons[i], words[3]))
 			message.reason = (hop_reason_t)i;
-	hear(ctx, words[1], words[2], message);
+	receive(ctx, words[1], words[2], message);
 }
 
 static void do_answer(void *ctx, char **words)
@@ -226,19 +227,19 @@
 			message.answer.end = (forward_outcome_t)end;
 	message.answer.retry_after_us =
 		forward_outcome_status(message.answer.end) == 503 ? 100000 : 0;
-	hear(ctx, words[1], words[2], message);
+	receive(ctx, words[1], words[2], message);
 }
 
 static void do_leaving(void *ctx, char **words)
 {
-	hear(ctx, words[1], NULL, (hop_message_t){.type = HOP_LEAVING});
+	receive(ctx, words[1], NULL, (hop_message_t){.type = HOP_LEAVING});
 }
 
 static void do_lost(void *ctx, char **words)
 {
 	play_t *play = ctx;
 
-	handovers_lost(play->all, find(play, words[1]), play->now_us);
+	handovers_connection_lost(play->all, find_gatherer(play, words[1]), play->now_us);
 }
 
 static void do_leave(void *ctx, char **words)
--- a/tests/hop_message_test.c
+++ b/tests/hop_message_test.c
@@ -1,6 +1,6 @@
 /**
  * @file hop_message_test.c
- * What VMs that hand gathers over and those that gather say to each other.
+ * Encoding and decoding of the messages between takers and gatherers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,8 +23,8 @@
 	g_string_append_len(out, bytes.data, (gssize)bytes.bytes);
 }
 
-/* All fields as text, so that two messages can be compared. */
-static void write_down(void *ctx, const hop_message_t *message)
+/* Writes all fields as text, so that two messages can be compared. */
+static void format_message(void *ctx, const hop_message_t *message)
 {
 	const hop_request_t *request = &message->request;
 	const hop_answer_t *answer = &message->answer;
@@ -33,8 +33,9 @@
 	g_string_append_printf(out,
 			       "%d #%" G_GUINT64_FORMAT " reason=%d more=%u by=%" G_GUINT64_FORMAT
 			       " %" G_GUINT64_FORMAT " %d",
-			       message->type, message->serial, message->reason, message->more,
-			       message->version, request->version, request->again);
+			       message->type, message->serial, message->reason,
+			       message->more_attempts, message->version, request->version,
+			       request->retried);
 	g_string_append_printf(out, " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT,
 			       request->elapsed_us, request->patience_us);
 	append_bytes(out, request->id);
@@ -57,7 +58,7 @@
 		message.request = (hop_request_t){.version = 17,
 						  .elapsed_us = 2300,
 						  .patience_us = 600000,
-						  .again = true,
+						  .retried = true,
 						  .id = bytes_of("id"),
 						  .host = bytes_of("h"),
 						  .target = bytes_of("/x/"),
@@ -70,16 +71,16 @@
 						.retry_after_us = 200000,
 						.stamps = bytes_of("a, b"),
 						.records = bytes_of("0123456789abcdef")};
-	if (type == HOP_NOT_TAKEN)
+	if (type == HOP_REJECTED)
 		message.reason = HOP_BUSY;
-	if (type == HOP_GO)
-		message.more = 2;
-	if (type == HOP_TAKEN)
+	if (type == HOP_GRANT)
+		message.more_attempts = 2;
+	if (type == HOP_ACCEPTED)
 		message.version = 21;
 	return message;
 }
 
-/* Each message is read as it was written, however its bytes arrive. */
+/* Each message is decoded as it was encoded, however its bytes arrive. */
 static void test_round_trip(void **state)
 {
 	(void)state;
@@ -90,31 +91,32 @@
 		hop_message_t message = message_of((hop_type_t)type);
 		size_t used = 0;
 
-		write_down(wanted, &message);
+		format_message(wanted, &message);
 		hop_message_write(bytes, &message);
 		for (guint have = 0; have < bytes->len; have++)
 			assert_int_equal(
-				hop_message_read(bytes->data, have, &used, write_down, got),
+				hop_message_read(bytes->data, have, &used, format_message, got),
 				FRAMING_MORE);
-		assert_int_equal(hop_message_read(bytes->data, bytes->len, &used, write_down, got),
-				 FRAMING_ONE);
+		assert_int_equal(
+			hop_message_read(bytes->data, bytes->len, &used, format_message, got),
+			FRAMING_ONE);
 		assert_int_equal(used, bytes->len);
 		assert_string_equal(got->str, wanted->str);
 	}
 }
 
-/* A message in an array of our own, to be read back. */
+/* Reads back a message whose array the test has built. */
 static framing_t read_array(const msgpack_sbuffer *buffer, GString *got)
 {
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
 	size_t used = 0;
 
 	framing_append(bytes, buffer->data, buffer->size);
-	return hop_message_read(bytes->data, bytes->len, &used, write_down, got);
+	return hop_message_read(bytes->data, bytes->len, &used, format_message, got);
 }
 
-/* While VMs are updated one after the other, a later version says more than this one knows: its new
- * messages and fields are passed over, and the connection stays. */
+/* While VMs are updated one after the other, a newer version sends messages and fields that this
+ * one does not know. They are ignored, and the connection stays open. */
 static void test_later_version(void **state)
 {
 	g_autoptr(GString) got = g_string_new(NULL);
@@ -132,7 +134,7 @@
 	assert_string_equal(got->str, "");
 	msgpack_sbuffer_clear(&buffer);
 	msgpack_pack_array(&packer, 4);
-	msgpack_pack_uint8(&packer, HOP_GO);
+	msgpack_pack_uint8(&packer, HOP_GRANT);
 	msgpack_pack_uint64(&packer, 1);
 	msgpack_pack_uint32(&packer, 1);
 	msgpack_pack_nil(&packer);
@@ -141,7 +143,8 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Bytes that are no message of ours end the connection, and nothing of them is taken. */
+/* Invalid bytes are reported, so that the connection is closed, and no message is delivered from
+ * them. */
 static void test_garbage(void **state)
 {
 	static const char *const payloads[] = {"",
@@ -158,8 +161,9 @@
 		size_t used = 0;
 
 		framing_append(bytes, payloads[i], strlen(payloads[i]));
-		assert_int_equal(hop_message_read(bytes->data, bytes->len, &used, write_down, got),
-				 FRAMING_BAD);
+		assert_int_equal(
+			hop_message_read(bytes->data, bytes->len, &used, format_message, got),
+			FRAMING_BAD);
 		assert_string_equal(got->str, "");
 	}
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -3,7 +3,8 @@
  * Small fakes at the core's interfaces: searchers, the platform and virtual time, for tests.
  *
  * Every VM here is the real engine, claims and adoption. Runs are decided by the seed alone. Each
- * answer is checked against the promises as it is given; what breaks one is kept in `violations`.
+ * answer is checked against the promises as it is given; what breaks one is kept in
+ * `violations`.
  */
 #ifndef DS_TEST_WORLD_H
 #define DS_TEST_WORLD_H
