--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -185,9 +185,9 @@
 
 /* ---- one op against the bucket as known ---- */
 
-static void end_claim(claims_t *claims, op_t *op, claim_end_t end)
+static void end_claim(claims_t *claims, op_t *op, claim_result_t end)
 {
-	if (end == CLAIM_OURS) {
+	if (end == CLAIM_ACQUIRED) {
 		claims->won++;
 		g_hash_table_insert(claims->held, g_strdup(op->key), g_strdup(op->holder));
 	}
@@ -217,14 +217,14 @@
 	 * check the caller would be told that somebody else holds the key, and nobody would run it.
 	 */
 	if (entry && g_str_equal(entry->holder, op->holder)) {
-		end_claim(claims, op, CLAIM_OURS);
+		end_claim(claims, op, CLAIM_ACQUIRED);
 		return VERDICT_ENDED;
 	}
 	/* The entry may have been given back since we last read. */
 	if (entry && !op->read_since)
 		return VERDICT_READ_FIRST;
 	if (entry) {
-		end_claim(claims, op, entry->ran ? CLAIM_RAN : CLAIM_OTHERS);
+		end_claim(claims, op, entry->ran ? CLAIM_RAN : CLAIM_HELD_ELSEWHERE);
 		return VERDICT_ENDED;
 	}
 	/*
@@ -236,7 +236,7 @@
 		return VERDICT_ENDED;
 	}
 	if (g_hash_table_size(bucket->entries) >= ENTRIES_MAX) {
-		end_claim(claims, op, CLAIM_UNSETTLED);
+		end_claim(claims, op, CLAIM_UNAVAILABLE);
 		return VERDICT_ENDED;
 	}
 	add_entry(bucket, op);
@@ -407,7 +407,8 @@
 	g_queue_init(&bucket->pending);
 	while ((op = g_queue_pop_head(&taken))) {
 		if (op->kind == OP_CLAIM) {
-			bucket->claims->ops->ended(bucket->claims->ctx, op->owner, CLAIM_UNSETTLED);
+			bucket->claims->ops->ended(bucket->claims->ctx, op->owner,
+						   CLAIM_UNAVAILABLE);
 			if (!op->written) {
 				op_free(op);
 				continue;
@@ -496,7 +497,7 @@
 	bucket->state = BUCKET_FILLING;
 	while ((op = g_queue_pop_head(&bucket->batch))) {
 		if (op->kind == OP_CLAIM)
-			end_claim(bucket->claims, op, CLAIM_OURS);
+			end_claim(bucket->claims, op, CLAIM_ACQUIRED);
 		else
 			op_free(op);
 	}
@@ -579,7 +580,7 @@
 	bucket = bucket_of(claims, op->key);
 	/* Waiting would tell nobody more: the probe finds out when claims can be settled again. */
 	if (in_outage(claims)) {
-		claims->ops->ended(claims->ctx, owner, CLAIM_UNSETTLED);
+		claims->ops->ended(claims->ctx, owner, CLAIM_UNAVAILABLE);
 		op_free(op);
 		return;
 	}
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -30,7 +30,7 @@
 	 */
 	void (*write)(void *ctx, uint32_t bucket, uint64_t if_version, const json_t *value);
 	/** A claim has ended. */
-	void (*ended)(void *ctx, void *owner, claim_end_t end);
+	void (*ended)(void *ctx, void *owner, claim_result_t end);
 } claims_ops_t;
 
 /** @param holder names this process start; no two starts may share it */
--- a/src/core/config.c
+++ b/src/core/config.c
@@ -113,10 +113,10 @@
 	return true;
 }
 
-static bool is_out(const config_t *config, const upstream_config_t *upstream)
+static bool is_withdrawn(const config_t *config, const upstream_config_t *upstream)
 {
-	for (guint i = 0; i < config->out->len; i++) {
-		const char *name = g_ptr_array_index(config->out, i);
+	for (guint i = 0; i < config->withdrawn->len; i++) {
+		const char *name = g_ptr_array_index(config->withdrawn, i);
 
 		if (g_str_equal(name, upstream->name) || g_str_equal(name, upstream->data_centre))
 			return true;
@@ -143,7 +143,7 @@
 		return err_set(err, ERR_VALUE, "%s.address: must be an IPv4 number", path);
 	upstream->address = g_strdup(address);
 	upstream->port = (uint16_t)port;
-	upstream->out = is_out(config, upstream);
+	upstream->withdrawn = is_withdrawn(config, upstream);
 	return true;
 }
 
@@ -224,7 +224,7 @@
 	return true;
 }
 
-static bool parse_out(config_t *config, const json_t *list, err_t *err)
+static bool parse_withdrawn(config_t *config, const json_t *list, err_t *err)
 {
 	size_t i;
 	json_t *item;
@@ -234,7 +234,7 @@
 	json_array_foreach (list, i, item) {
 		if (!json_is_string(item))
 			return err_set(err, ERR_VALUE, "out[%zu]: must be a name", i);
-		g_ptr_array_add(config->out, g_strdup(json_string_value(item)));
+		g_ptr_array_add(config->withdrawn, g_strdup(json_string_value(item)));
 	}
 	return true;
 }
@@ -260,7 +260,7 @@
 }
 
 /* A mistyped name in "out" would silently leave a searcher at work that should leave. */
-static bool check_out_names(const config_t *config, err_t *err)
+static bool check_withdrawn_names(const config_t *config, err_t *err)
 {
 	g_autoptr(GHashTable) known = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -279,8 +279,8 @@
 			}
 		}
 	}
-	for (guint i = 0; i < config->out->len; i++) {
-		const char *name = g_ptr_array_index(config->out, i);
+	for (guint i = 0; i < config->withdrawn->len; i++) {
+		const char *name = g_ptr_array_index(config->withdrawn, i);
 
 		if (!g_hash_table_contains(known, name))
 			return err_set(err, ERR_VALUE,
@@ -299,7 +299,7 @@
 	if (!check_keys(source, known, "configuration", err) ||
 	    !get_integer(source, "entry_vms", "configuration", 1, ENTRY_VMS_MAX, &config->entry_vms,
 			 err) ||
-	    !parse_out(config, json_object_get(source, "out"), err))
+	    !parse_withdrawn(config, json_object_get(source, "out"), err))
 		return false;
 	if (!json_is_object(services) || json_object_size(services) == 0)
 		return err_set(err, ERR_VALUE,
@@ -310,7 +310,7 @@
 			    g_ptr_array_index(config->services, config->services->len - 1), err))
 			return false;
 	}
-	return check_out_names(config, err);
+	return check_withdrawn_names(config, err);
 }
 
 config_t *config_parse(const json_t *source, uint64_t number, err_t *err)
@@ -320,7 +320,7 @@
 	config->refs = 1;
 	config->number = number;
 	config->services = g_ptr_array_new_with_free_func(service_config_free);
-	config->out = g_ptr_array_new_with_free_func(g_free);
+	config->withdrawn = g_ptr_array_new_with_free_func(g_free);
 	if (parse_into(config, source, err)) {
 		config->source = json_incref((json_t *)source);
 		return config;
@@ -334,7 +334,7 @@
 	if (!config || --config->refs)
 		return;
 	g_ptr_array_unref(config->services);
-	g_ptr_array_unref(config->out);
+	g_ptr_array_unref(config->withdrawn);
 	json_decref(config->source);
 	g_free(config);
 }
@@ -344,7 +344,7 @@
 	return MAX(service->connections / config->entry_vms, 1);
 }
 
-uint32_t config_work_share(const config_t *config, const service_config_t *service)
+uint32_t config_request_share(const config_t *config, const service_config_t *service)
 {
 	return MAX(config_connection_share(config, service) - 1, 1);
 }
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -31,7 +31,7 @@
 	char *data_centre;
 	char *address; /**< an IP number */
 	uint16_t port;
-	bool out; /**< retired, or its data centre is taken out: no new work */
+	bool withdrawn; /**< retired, or its data centre is taken out: no new work */
 } upstream_config_t;
 
 typedef struct group_config_t {
@@ -53,8 +53,8 @@
 	gint refs;
 	uint64_t number;    /**< the platform's version of the object; rises with each acceptance */
 	uint32_t entry_vms; /**< most VMs that may be up at once, replacements included */
-	GPtrArray *services; /**< service_config_t */
-	GPtrArray *out;	     /**< names of data centres and searchers that get no new work */
+	GPtrArray *services;  /**< service_config_t */
+	GPtrArray *withdrawn; /**< names of data centres and searchers that get no new work */
 	json_t *source;
 } config_t;
 
@@ -64,7 +64,7 @@
 /** This VM's share of a searcher's connections; at least 1. */
 uint32_t config_connection_share(const config_t *config, const service_config_t *service);
 /** The part of that share for requests: one connection is kept for health probes, if it can be. */
-uint32_t config_work_share(const config_t *config, const service_config_t *service);
+uint32_t config_request_share(const config_t *config, const service_config_t *service);
 
 const char *service_kind_name(service_kind_t kind);
 const char *request_class_name(request_class_t class);
--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -11,9 +11,9 @@
 /* A replica this many times costlier than the best is not used while another can be. */
 #define OUTLIER_RATIO 4.0
 #define HEDGE_QUANTILE 0.95
-#define HEDGE_SAMPLES_LEAST 64
-#define HEDGE_START_US 20000
-#define HEDGE_LEAST_US 1000
+#define HEDGE_SAMPLES_MIN 64
+#define HEDGE_DELAY_INITIAL_US 20000
+#define HEDGE_DELAY_MIN_US 1000
 /* An attempt this many hedge delays old was swallowed rather than slow. */
 #define RESCUE_DELAYS 5
 #define FADE_SAMPLES 4096
@@ -51,7 +51,7 @@
 		upstream_t *upstream = g_ptr_array_index(part->replicas, i);
 
 		if (!upstream_usable(upstream) || contains(part->tried, upstream) ||
-		    contains(part->barred, upstream))
+		    contains(part->excluded, upstream))
 			continue;
 		choice->list[choice->count] = upstream;
 		choice->cost[choice->count] = upstream_cost(upstream, now_us, MAX(typical_us, 1));
@@ -74,7 +74,7 @@
  * Limits below 1 only mean something for a group as a whole: were each searcher given one request
  * by each VM all the same, six VMs would fill its two slots three times over.
  */
-static bool group_has_room(const engine_t *engine, const part_t *part)
+static bool group_has_capacity(const engine_t *engine, const part_t *part)
 {
 	uint32_t outstanding = 0;
 	double limit = 0;
@@ -91,15 +91,15 @@
 }
 
 /* Two at random, the cheaper of them that has room. */
-static upstream_t *choose_with_room(engine_t *engine, const part_t *part, const choice_t *choice)
+static upstream_t *choose_replica(engine_t *engine, const part_t *part, const choice_t *choice)
 {
 	uint32_t open[64], count = 0, first, second;
 
-	if (!group_has_room(engine, part))
+	if (!group_has_capacity(engine, part))
 		return NULL;
 
 	for (uint32_t i = 0; i < choice->count; i++)
-		if (upstream_has_room(choice->list[i]))
+		if (upstream_has_capacity(choice->list[i]))
 			open[count++] = i;
 	if (count == 0)
 		return NULL;
@@ -163,10 +163,10 @@
 
 static uint64_t hedge_delay_us(const service_t *service)
 {
-	if (service->attempt_latency.count < HEDGE_SAMPLES_LEAST)
-		return HEDGE_START_US;
+	if (service->attempt_latency.count < HEDGE_SAMPLES_MIN)
+		return HEDGE_DELAY_INITIAL_US;
 	return MAX(histogram_quantile_us(&service->attempt_latency, HEDGE_QUANTILE),
-		   HEDGE_LEAST_US);
+		   HEDGE_DELAY_MIN_US);
 }
 
 static void on_attempt_timer(void *ctx, uint64_t now_us);
@@ -209,19 +209,19 @@
  * a strict order parts of the lower classes would wait here for as long as urgent work keeps
  * coming.
  */
-static uint64_t turn_us(const attempt_t *attempt)
+static uint64_t queue_position_us(const attempt_t *attempt)
 {
 	const query_t *query = attempt->query;
 
 	return query->admitted_us + query->request->class * CLASS_HEAD_START_US;
 }
 
-static bool goes_before(const attempt_t *a, const attempt_t *b)
+static bool is_queued_before(const attempt_t *a, const attempt_t *b)
 {
-	return turn_us(a) < turn_us(b);
+	return queue_position_us(a) < queue_position_us(b);
 }
 
-static void wait_for(attempt_t *attempt, upstream_t *upstream)
+static void enqueue_waiter(attempt_t *attempt, upstream_t *upstream)
 {
 	waiter_t *waiter = g_new0(waiter_t, 1);
 	GList *after = upstream->waiting.tail;
@@ -230,7 +230,7 @@
 	waiter->upstream = upstream_ref(upstream);
 	waiter->link.data = waiter;
 	g_ptr_array_add(attempt->waiters, waiter);
-	while (after && goes_before(attempt, ((waiter_t *)after->data)->attempt))
+	while (after && is_queued_before(attempt, ((waiter_t *)after->data)->attempt))
 		after = after->prev;
 	if (after)
 		g_queue_insert_after_link(&upstream->waiting, after, &waiter->link);
@@ -240,20 +240,20 @@
 
 /* Room at one searcher is room for its group, too: whoever waits there waits at each of the group.
  */
-void dispatch_pump(engine_t *engine, upstream_t *upstream, uint64_t now_us)
+void dispatch_send_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us)
 {
 	GList *item = upstream->waiting.head;
 
-	while (item && upstream_has_room(upstream)) {
+	while (item && upstream_has_capacity(upstream)) {
 		attempt_t *attempt = ((waiter_t *)item->data)->attempt;
 
 		item = item->next;
-		if (group_has_room(engine, part_of(attempt)))
+		if (group_has_capacity(engine, part_of(attempt)))
 			attempt_send(engine, attempt, upstream, now_us);
 	}
 }
 
-void dispatch_evict(engine_t *engine, upstream_t *upstream, uint64_t now_us)
+void dispatch_reassign_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us)
 {
 	while (upstream->waiting.head) {
 		attempt_t *attempt = ((waiter_t *)upstream->waiting.head->data)->attempt;
@@ -290,12 +290,12 @@
 		   now_us + (uint64_t)g_rand_double_range(engine->rand, base / 2, base));
 }
 
-static bool anyone_left(const part_t *part)
+static bool any_replica_left(const part_t *part)
 {
 	for (guint i = 0; i < part->replicas->len; i++) {
 		const upstream_t *upstream = g_ptr_array_index(part->replicas, i);
 
-		if (upstream_usable(upstream) && !contains(part->barred, upstream))
+		if (upstream_usable(upstream) && !contains(part->excluded, upstream))
 			return true;
 	}
 	return false;
@@ -311,33 +311,33 @@
 	if (choice.count == 0) {
 		if (part->attempts->len || part->backoff.place)
 			return;
-		if (anyone_left(part))
+		if (any_replica_left(part))
 			back_off(engine, part, now_us);
 		else
 			engine_part_lost(engine, part, now_us);
 		return;
 	}
 	attempt = attempt_new(engine, part, kind);
-	upstream = choose_with_room(engine, part, &choice);
+	upstream = choose_replica(engine, part, &choice);
 	if (upstream) {
 		attempt_send(engine, attempt, upstream, now_us);
 		return;
 	}
 	for (uint32_t i = 0; i < choice.count; i++)
-		wait_for(attempt, choice.list[i]);
+		enqueue_waiter(attempt, choice.list[i]);
 }
 
 /* ---- rescue ---- */
 
-static bool someone_has_room(const engine_t *engine, const part_t *part, uint64_t now_us)
+static bool any_replica_has_capacity(const engine_t *engine, const part_t *part, uint64_t now_us)
 {
 	choice_t choice;
 
-	if (!group_has_room(engine, part))
+	if (!group_has_capacity(engine, part))
 		return false;
 	list_candidates(engine, part, now_us, &choice);
 	for (uint32_t i = 0; i < choice.count; i++)
-		if (upstream_has_room(choice.list[i]))
+		if (upstream_has_capacity(choice.list[i]))
 			return true;
 	return false;
 }
@@ -348,7 +348,8 @@
 
 	/* Under overload a hedge takes the place of somebody's first attempt. */
 	if (gate_waiting(&service->gate) || part->attempts->len > 1 ||
-	    !someone_has_room(engine, part, now_us) || !budget_spend(&service->hedge_budget))
+	    !any_replica_has_capacity(engine, part, now_us) ||
+	    !budget_spend(&service->hedge_budget))
 		return;
 	dispatch_part(engine, part, ATTEMPT_HEDGE, now_us);
 }
@@ -364,15 +365,15 @@
 {
 	service_t *service = engine_service_of(part->query);
 
-	upstream_outlasted(attempt->upstream, now_us, now_us - attempt->sent_us);
-	upstream_overloaded(attempt->upstream, now_us);
+	upstream_record_min_latency(attempt->upstream, now_us, now_us - attempt->sent_us);
+	upstream_record_overload(attempt->upstream, now_us);
 	if (!budget_spend(&service->rescue_budget))
 		return;
 	timeline_add(engine->timeline,
 		     "event=rescue request=%s service=%s upstream=%s waited_us=%" G_GUINT64_FORMAT,
 		     part->query->request->id, service->name, attempt->upstream->name,
 		     now_us - attempt->sent_us);
-	if (!someone_has_room(engine, part, now_us))
+	if (!any_replica_has_capacity(engine, part, now_us))
 		g_ptr_array_set_size(part->tried, 0);
 	dispatch_part(engine, part, ATTEMPT_RETRY, now_us);
 }
@@ -402,16 +403,16 @@
 	if (upstream) {
 		engine->ops->cancel(engine->ctx, attempt);
 		/* The loser took at least this long: without it a straggler would look untried. */
-		upstream_outlasted(upstream, now_us, waited_us);
+		upstream_record_min_latency(upstream, now_us, waited_us);
 	}
 	attempt_free(engine, attempt);
 	if (!upstream)
 		return;
-	dispatch_pump(engine, upstream, now_us);
+	dispatch_send_waiting(engine, upstream, now_us);
 	upstream_unref(upstream);
 }
 
-static void drop_waiting(engine_t *engine, const part_t *part)
+static void drop_waiting_attempts(engine_t *engine, const part_t *part)
 {
 	for (guint i = part->attempts->len; i-- > 0;) {
 		attempt_t *attempt = g_ptr_array_index(part->attempts, i);
@@ -421,9 +422,9 @@
 	}
 }
 
-static void cancel_others(engine_t *engine, part_t *part, uint64_t now_us)
+static void cancel_attempts(engine_t *engine, part_t *part, uint64_t now_us)
 {
-	drop_waiting(engine, part);
+	drop_waiting_attempts(engine, part);
 	while (part->attempts->len)
 		cancel_attempt(engine, g_ptr_array_index(part->attempts, 0), now_us);
 	timers_cancel(&engine->timers, &part->backoff);
@@ -433,17 +434,17 @@
 {
 	/* First those that wait, or a place freed below would go to another part of this query. */
 	for (guint i = 0; i < query->parts->len; i++)
-		drop_waiting(engine, g_ptr_array_index(query->parts, i));
+		drop_waiting_attempts(engine, g_ptr_array_index(query->parts, i));
 	for (guint i = 0; i < query->parts->len; i++)
-		cancel_others(engine, g_ptr_array_index(query->parts, i), now_us);
+		cancel_attempts(engine, g_ptr_array_index(query->parts, i), now_us);
 }
 
-static void take_sample(engine_t *engine, service_t *service, upstream_t *upstream,
-			const attempt_t *attempt, uint64_t now_us)
+static void record_latency(engine_t *engine, service_t *service, upstream_t *upstream,
+			   const attempt_t *attempt, uint64_t now_us)
 {
 	uint64_t latency_us = now_us - attempt->sent_us;
 
-	upstream_answered(upstream, now_us, latency_us);
+	upstream_record_answer(upstream, now_us, latency_us);
 	if (!engine->policy.adapt_limit)
 		upstream->limit = upstream->share;
 	histogram_add(&service->attempt_latency, latency_us);
@@ -459,16 +460,16 @@
 	if (kind == ATTEMPT_HEDGE)
 		engine_service_of(query)->counters.hedges_won++;
 	query_merge(query, part, reply);
-	cancel_others(engine, part, now_us);
+	cancel_attempts(engine, part, now_us);
 	if (query->request->kind == SERVICE_ONCE)
 		engine_action_ended(engine, query, REFUSAL_NONE, RAN_YES, now_us);
 	else
-		engine_check_settled(engine, query, now_us);
+		engine_check_done(engine, query, now_us);
 	query_unref(query);
 }
 
 /* The part goes on elsewhere, unless another attempt for it is still out. */
-static void ask_elsewhere(engine_t *engine, part_t *part, bool costs_budget, uint64_t now_us)
+static void retry_part(engine_t *engine, part_t *part, bool costs_budget, uint64_t now_us)
 {
 	service_t *service = engine_service_of(part->query);
 
@@ -482,40 +483,40 @@
 }
 
 /* The attempt itself says nothing of the part any more: the query went on without it. */
-static bool moved_on(const query_t *query, uint32_t restarts)
+static bool query_has_moved_on(const query_t *query, uint32_t restarts)
 {
 	return query->finished || query->restarts != restarts;
 }
 
-static void note_failure(engine_t *engine, const query_t *query, upstream_t *upstream,
-			 reply_kind_t kind, uint64_t now_us)
+static void record_failure(engine_t *engine, const query_t *query, upstream_t *upstream,
+			   reply_kind_t kind, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 
 	switch (kind) {
 	case REPLY_ANSWER: /* of another version or other partitions: never merged */
-	case REPLY_BAD:
+	case REPLY_INVALID:
 		service->counters.mismatched++;
 		timeline_add(engine->timeline,
 			     "event=reply-rejected request=%s service=%s upstream=%s",
 			     query->request->id, service->name, upstream->name);
 		break;
-	case REPLY_NOT_HELD:
+	case REPLY_VERSION_NOT_HELD:
 		break;
 	case REPLY_SHED:
 		upstream->shed++;
-		upstream_overloaded(upstream, now_us);
+		upstream_record_overload(upstream, now_us);
 		break;
 	case REPLY_NOT_SENT:
-	case REPLY_CUT:
+	case REPLY_CONNECTION_LOST:
 		upstream->cut++;
-		if (!upstream_failed(upstream, kind == REPLY_NOT_SENT))
+		if (!upstream_record_failure(upstream, kind == REPLY_NOT_SENT))
 			break;
 		service->snapshot_stale = true;
 		timeline_add(engine->timeline,
 			     "event=upstream-down service=%s upstream=%s reason=connect",
 			     service->name, upstream->name);
-		dispatch_evict(engine, upstream, now_us);
+		dispatch_reassign_waiting(engine, upstream, now_us);
 		break;
 	}
 }
@@ -523,8 +524,10 @@
 static void part_failed(engine_t *engine, part_t *part, upstream_t *upstream, reply_kind_t kind,
 			uint64_t now_us)
 {
-	bool transient = kind == REPLY_SHED || kind == REPLY_NOT_SENT || kind == REPLY_CUT;
-	bool may_have_run = kind == REPLY_CUT || kind == REPLY_BAD || kind == REPLY_ANSWER;
+	bool transient =
+		kind == REPLY_SHED || kind == REPLY_NOT_SENT || kind == REPLY_CONNECTION_LOST;
+	bool may_have_run =
+		kind == REPLY_CONNECTION_LOST || kind == REPLY_INVALID || kind == REPLY_ANSWER;
 
 	if (may_have_run && part->query->request->kind == SERVICE_ONCE) {
 		engine_action_ended(engine, part->query, REFUSAL_OUTCOME_UNKNOWN, RAN_UNKNOWN,
@@ -532,9 +535,9 @@
 		return;
 	}
 	if (!transient)
-		g_ptr_array_add(part->barred, upstream);
+		g_ptr_array_add(part->excluded, upstream);
 	if (!part->answered && !part->lost)
-		ask_elsewhere(engine, part, may_have_run, now_us);
+		retry_part(engine, part, may_have_run, now_us);
 }
 
 void engine_attempt_ended(engine_t *engine, uint64_t attempt_id, reply_t *reply, uint64_t now_us)
@@ -559,7 +562,7 @@
 	index = attempt->part;
 	kind = attempt->kind;
 	if (reply->kind == REPLY_ANSWER)
-		take_sample(engine, engine_service_of(query), upstream, attempt, now_us);
+		record_latency(engine, engine_service_of(query), upstream, attempt, now_us);
 	attempt_free(engine, attempt);
 
 	if (reply->kind == REPLY_ANSWER &&
@@ -567,16 +570,16 @@
 		upstream->failures = 0;
 		part_answered(engine, g_ptr_array_index(query->parts, index), kind, reply, now_us);
 		if (reply->report)
-			engine_take_report(engine, upstream, reply->report, now_us);
+			engine_apply_report(engine, upstream, reply->report, now_us);
 	} else {
 		if (reply->report)
-			engine_take_report(engine, upstream, reply->report, now_us);
-		note_failure(engine, query, upstream, reply->kind, now_us);
-		if (!moved_on(query, restarts))
+			engine_apply_report(engine, upstream, reply->report, now_us);
+		record_failure(engine, query, upstream, reply->kind, now_us);
+		if (!query_has_moved_on(query, restarts))
 			part_failed(engine, g_ptr_array_index(query->parts, index), upstream,
 				    reply->kind, now_us);
 	}
-	dispatch_pump(engine, upstream, now_us);
+	dispatch_send_waiting(engine, upstream, now_us);
 	reply_free(reply);
 	query_unref(query);
 	upstream_unref(upstream);
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -8,8 +8,8 @@
 
 /* What is left to write the answer and let it travel. */
 #define ANSWER_MARGIN_US 4000
-#define OUTAGE_RETURN_LEAST_US 500000
-#define OUTAGE_RETURN_MOST_US 2000000
+#define OUTAGE_RETRY_MIN_US 500000
+#define OUTAGE_RETRY_MAX_US 2000000
 
 /* ---- services ---- */
 
@@ -75,13 +75,13 @@
 	return query->service;
 }
 
-static void evict_unusable(engine_t *engine, const GPtrArray *upstreams, uint64_t now_us)
+static void reassign_from_unusable(engine_t *engine, const GPtrArray *upstreams, uint64_t now_us)
 {
 	for (guint i = 0; i < upstreams->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(upstreams, i);
 
 		if (!upstream_usable(upstream))
-			dispatch_evict(engine, upstream, now_us);
+			dispatch_reassign_waiting(engine, upstream, now_us);
 	}
 }
 
@@ -89,7 +89,7 @@
 {
 	g_autoptr(GPtrArray) before =
 		g_ptr_array_new_with_free_func((GDestroyNotify)upstream_unref);
-	g_autoptr(GHashTable) outs = g_hash_table_new(NULL, NULL);
+	g_autoptr(GHashTable) withdrawn_before = g_hash_table_new(NULL, NULL);
 
 	for (guint i = 0; i < engine->services->len; i++) {
 		service_t *service = g_ptr_array_index(engine->services, i);
@@ -97,10 +97,10 @@
 		for (guint j = 0; j < service->upstreams->len; j++) {
 			upstream_t *upstream = g_ptr_array_index(service->upstreams, j);
 
-			if (upstream->out)
-				g_hash_table_add(outs, upstream);
+			if (upstream->withdrawn)
+				g_hash_table_add(withdrawn_before, upstream);
 			/* What the new configuration does not name again gets nothing new. */
-			upstream->out = true;
+			upstream->withdrawn = true;
 			g_ptr_array_add(before, upstream_ref(upstream));
 		}
 		service->configured = false;
@@ -113,9 +113,9 @@
 			service = service_new(from->name);
 			g_ptr_array_add(engine->services, service);
 		}
-		service_configure(engine, service, config, from, outs);
+		service_configure(engine, service, config, from, withdrawn_before);
 	}
-	evict_unusable(engine, before, now_us);
+	reassign_from_unusable(engine, before, now_us);
 	timeline_add(engine->timeline, "event=config-in-force number=%" G_GUINT64_FORMAT,
 		     config->number);
 }
@@ -128,7 +128,7 @@
 
 	query->finished = true;
 	timers_cancel(&engine->timers, &query->deadline);
-	restart_forget(engine, query);
+	restart_stop_waiting(engine, query);
 	gate_withdraw(&service->gate, &query->gate_entry);
 	dispatch_stop(engine, query, now_us);
 	if (query->admitted_us)
@@ -148,7 +148,7 @@
 	if (answer->missing && answer->missing->len)
 		counters->answers_partial++;
 	else
-		counters->answers_whole++;
+		counters->answers_complete++;
 }
 
 static void admit_waiting(engine_t *engine, service_t *service, uint64_t now_us);
@@ -160,12 +160,11 @@
 
 	query_end(engine, query, now_us);
 	query_answer(query, &answer);
-	if (refusal_class(refusal)->come_back)
+	if (refusal_class(refusal)->retryable)
 		answer.retry_after_us =
 			refusal == REFUSAL_NO_UPSTREAM || refusal == REFUSAL_NO_CLAIM
-				? (uint64_t)g_rand_double_range(engine->rand,
-								OUTAGE_RETURN_LEAST_US,
-								OUTAGE_RETURN_MOST_US)
+				? (uint64_t)g_rand_double_range(engine->rand, OUTAGE_RETRY_MIN_US,
+								OUTAGE_RETRY_MAX_US)
 				: gate_return_after_us(&service->gate, now_us, engine->rand);
 	count_answer(service, query, &answer, now_us);
 	if (refusal != REFUSAL_NONE || answer.missing->len)
@@ -191,12 +190,12 @@
 			     now_us);
 }
 
-void engine_check_settled(engine_t *engine, query_t *query, uint64_t now_us)
+void engine_check_done(engine_t *engine, query_t *query, uint64_t now_us)
 {
-	if (query->finished || !query_is_settled(query))
+	if (query->finished || !query_is_done(query))
 		return;
-	if (!query_is_whole(query) &&
-	    (restart_try(engine, query, now_us) || restart_await(engine, query, now_us)))
+	if (!query_is_complete(query) && (restart_try(engine, query, now_us) ||
+					  restart_wait_for_versions(engine, query, now_us)))
 		return;
 	refuse_or_answer(engine, query, now_us);
 }
@@ -208,7 +207,7 @@
 	/* Asking may end the query, or pin it anew: then the parts listed here are gone. */
 	for (guint i = 0; !query->finished && pin == query->restarts && i < query->parts->len; i++)
 		dispatch_part(engine, g_ptr_array_index(query->parts, i), ATTEMPT_FIRST, now_us);
-	engine_check_settled(engine, query, now_us);
+	engine_check_done(engine, query, now_us);
 }
 
 void engine_part_lost(engine_t *engine, part_t *part, uint64_t now_us)
@@ -219,7 +218,7 @@
 	if (query->request->kind == SERVICE_ONCE)
 		engine_action_ended(engine, query, REFUSAL_UPSTREAM_NOT_RUN, RAN_NO, now_us);
 	else if (!restart_try(engine, query, now_us))
-		engine_check_settled(engine, query, now_us);
+		engine_check_done(engine, query, now_us);
 	query_unref(query);
 }
 
@@ -233,7 +232,7 @@
 	query_finish(engine, query, refusal, now_us);
 }
 
-static bool action_is_out(const query_t *query)
+static bool action_was_sent(const query_t *query)
 {
 	for (guint i = 0; i < query->parts->len; i++) {
 		const part_t *part = g_ptr_array_index(query->parts, i);
@@ -256,14 +255,14 @@
 		refuse_or_answer(engine, query, now_us);
 	} else if (!query->snapshot) { /* the claim is not settled; a late one is released */
 		query_finish(engine, query, REFUSAL_NO_CLAIM, now_us);
-	} else if (action_is_out(query)) {
+	} else if (action_was_sent(query)) {
 		engine_action_ended(engine, query, REFUSAL_OUTCOME_UNKNOWN, RAN_UNKNOWN, now_us);
 	} else {
 		engine_action_ended(engine, query, REFUSAL_UPSTREAM_NOT_RUN, RAN_NO, now_us);
 	}
 }
 
-static uint64_t answer_by_us(const request_t *request, uint64_t now_us)
+static uint64_t answer_deadline_us(const request_t *request, uint64_t now_us)
 {
 	uint64_t left_us = request->deadline_us > now_us ? request->deadline_us - now_us : 0;
 
@@ -275,7 +274,7 @@
 	service_t *service = engine_service_of(query);
 
 	query->admitted_us = now_us;
-	timers_set(&engine->timers, &query->deadline, answer_by_us(query->request, now_us));
+	timers_set(&engine->timers, &query->deadline, answer_deadline_us(query->request, now_us));
 	if (query->request->kind == SERVICE_ONCE) {
 		engine->ops->claim(engine->ctx, query);
 		return;
@@ -289,12 +288,12 @@
 	engine_scatter(engine, query, now_us);
 }
 
-static refusal_t refusal_of_claim(claim_end_t end)
+static refusal_t refusal_of_claim(claim_result_t end)
 {
 	switch (end) {
-	case CLAIM_OURS:
+	case CLAIM_ACQUIRED:
 		return REFUSAL_NONE;
-	case CLAIM_OTHERS:
+	case CLAIM_HELD_ELSEWHERE:
 		return REFUSAL_KEY_IN_USE;
 	case CLAIM_RAN:
 		return REFUSAL_KEY_RAN;
@@ -302,24 +301,24 @@
 		return REFUSAL_KEY_TOO_OLD;
 	case CLAIM_BAD_KEY:
 		return REFUSAL_BAD_REQUEST;
-	case CLAIM_UNSETTLED:
+	case CLAIM_UNAVAILABLE:
 		return REFUSAL_NO_CLAIM;
 	}
 	g_assert_not_reached();
 }
 
-void engine_claimed(engine_t *engine, query_t *query, claim_end_t end, uint64_t now_us)
+void engine_claimed(engine_t *engine, query_t *query, claim_result_t end, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 
 	engine_enter(engine, now_us);
 	if (query->finished) {
 		/* Answered as not run while the claim was on its way: give the key back. */
-		if (end == CLAIM_OURS)
+		if (end == CLAIM_ACQUIRED)
 			engine->ops->claim_outcome(engine->ctx, query, RAN_NO);
 		return;
 	}
-	if (end != CLAIM_OURS) {
+	if (end != CLAIM_ACQUIRED) {
 		query_finish(engine, query, refusal_of_claim(end), now_us);
 		return;
 	}
@@ -354,7 +353,8 @@
 }
 
 /* A waiting request is refused as soon as it can't be answered in time any more. */
-static uint64_t wait_until_us(const service_t *service, const request_t *request, uint64_t now_us)
+static uint64_t admission_deadline_us(const service_t *service, const request_t *request,
+				      uint64_t now_us)
 {
 	uint64_t run_us = (uint64_t)service->gate.run_us;
 
@@ -378,7 +378,7 @@
 		break;
 	case GATE_WAIT:
 		timers_set(&engine->timers, &query->deadline,
-			   wait_until_us(service, query->request, now_us));
+			   admission_deadline_us(service, query->request, now_us));
 		break;
 	case GATE_FULL:
 		query_finish(engine, query, REFUSAL_QUEUE_FULL, now_us);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -17,14 +17,14 @@
 struct service_t;
 
 /** How a claim on an idempotency key ended. */
-typedef enum claim_end_t {
-	CLAIM_OURS,	 /**< the key is claimed for this attempt, for certain */
-	CLAIM_OTHERS,	 /**< another attempt holds it; what it did is unknown */
-	CLAIM_RAN,	 /**< another attempt holds it and recorded that it ran */
-	CLAIM_TOO_OLD,	 /**< the key is older than claims are kept */
-	CLAIM_BAD_KEY,	 /**< the key carries no time of issue, or one in the future */
-	CLAIM_UNSETTLED, /**< the platform can't be reached in time */
-} claim_end_t;
+typedef enum claim_result_t {
+	CLAIM_ACQUIRED,	      /**< the key is claimed for this attempt, for certain */
+	CLAIM_HELD_ELSEWHERE, /**< another attempt holds it; what it did is unknown */
+	CLAIM_RAN,	      /**< another attempt holds it and recorded that it ran */
+	CLAIM_TOO_OLD,	      /**< the key is older than claims are kept */
+	CLAIM_BAD_KEY,	      /**< the key carries no time of issue, or one in the future */
+	CLAIM_UNAVAILABLE,    /**< the platform can't be reached in time */
+} claim_result_t;
 
 /** Effects. None may call back into the engine before returning, but for engine_claimed(). */
 typedef struct engine_ops_t {
@@ -46,7 +46,7 @@
 /** Counters of one service. */
 typedef struct service_counters_t {
 	uint64_t requests[CLASS_COUNT];
-	uint64_t answers_whole, answers_partial;
+	uint64_t answers_complete, answers_partial;
 	uint64_t refusals[REFUSAL_COUNT];
 	uint64_t first, hedges, retries; /**< sub-requests sent, by kind */
 	uint64_t hedges_won;
@@ -65,8 +65,8 @@
 	histogram_t attempt_latency; /**< recent, for the hedge delay */
 	snapshot_t *snapshot;	     /**< what the next query pins */
 	bool snapshot_stale;
-	uint64_t versions_moved_us; /**< when a searcher's versions last changed */
-	GPtrArray *awaiting;	    /**< query_t that wait for news of versions */
+	uint64_t versions_changed_us; /**< when a searcher's versions last changed */
+	GPtrArray *awaiting_versions; /**< query_t that wait for news of versions */
 	bool configured;
 	service_counters_t counters;
 } service_t;
@@ -99,7 +99,7 @@
 void engine_abandon(engine_t *engine, query_t *query, uint64_t now_us);
 /** What became of an attempt. Takes @p reply. Unknown ids are counted and dropped. */
 void engine_attempt_ended(engine_t *engine, uint64_t attempt_id, reply_t *reply, uint64_t now_us);
-void engine_claimed(engine_t *engine, query_t *query, claim_end_t end, uint64_t now_us);
+void engine_claimed(engine_t *engine, query_t *query, claim_result_t end, uint64_t now_us);
 /** A health probe of a searcher was answered. */
 void engine_health(engine_t *engine, upstream_t *upstream, const upstream_report_t *report,
 		   uint64_t now_us);
@@ -107,7 +107,7 @@
 void engine_health_failed(engine_t *engine, upstream_t *upstream, bool refused, uint64_t now_us);
 
 /** Another VM was told by a searcher that it leaves. */
-void engine_told_leaving(engine_t *engine, const char *service, const char *upstream,
+void engine_leave_notice(engine_t *engine, const char *service, const char *upstream,
 			 uint64_t now_us);
 
 /** When engine_run() is next needed, or TIMERS_NEVER. */
--- a/src/core/news.c
+++ b/src/core/news.c
@@ -5,55 +5,55 @@
 #include "core/engine_private.h"
 
 /* Health probes enter the engine several times a second. */
-#define PAUSE_US 1500000
+#define PAUSE_MIN_US 1500000
 
 static service_t *service_of_upstream(const engine_t *engine, const upstream_t *upstream)
 {
 	return engine_find_service(engine, upstream->service);
 }
 
-void engine_take_report(engine_t *engine, upstream_t *upstream, const upstream_report_t *report,
-			uint64_t now_us)
+void engine_apply_report(engine_t *engine, upstream_t *upstream, const upstream_report_t *report,
+			 uint64_t now_us)
 {
 	upstream_state_t before = upstream->state;
 	service_t *service = service_of_upstream(engine, upstream);
-	bool told = upstream->leaving_said;
+	bool told = upstream->leaving_reported;
 
-	if (!upstream_report(upstream, report))
+	if (!upstream_apply_report(upstream, report))
 		return;
-	if (upstream->leaving_said && !told)
+	if (upstream->leaving_reported && !told)
 		engine->ops->leaving(engine->ctx, upstream);
 	service->snapshot_stale = true;
 	if (report->has_versions)
-		service->versions_moved_us = now_us;
+		service->versions_changed_us = now_us;
 	timeline_add(engine->timeline,
 		     "event=upstream-changed service=%s upstream=%s from=%s to=%s",
 		     upstream->service, upstream->name, upstream_state_name(before),
 		     upstream_state_name(upstream->state));
 	if (!upstream_usable(upstream))
-		dispatch_evict(engine, upstream, now_us);
-	restart_news(engine, service, now_us);
+		dispatch_reassign_waiting(engine, upstream, now_us);
+	restart_versions_changed(engine, service, now_us);
 }
 
 void engine_health(engine_t *engine, upstream_t *upstream, const upstream_report_t *report,
 		   uint64_t now_us)
 {
 	engine_enter(engine, now_us);
-	engine_take_report(engine, upstream, report, now_us);
+	engine_apply_report(engine, upstream, report, now_us);
 }
 
 void engine_health_failed(engine_t *engine, upstream_t *upstream, bool refused, uint64_t now_us)
 {
 	engine_enter(engine, now_us);
-	if (!upstream_failed(upstream, refused))
+	if (!upstream_record_failure(upstream, refused))
 		return;
 	service_of_upstream(engine, upstream)->snapshot_stale = true;
 	timeline_add(engine->timeline, "event=upstream-down service=%s upstream=%s reason=health",
 		     upstream->service, upstream->name);
-	dispatch_evict(engine, upstream, now_us);
+	dispatch_reassign_waiting(engine, upstream, now_us);
 }
 
-void engine_told_leaving(engine_t *engine, const char *service_name, const char *name,
+void engine_leave_notice(engine_t *engine, const char *service_name, const char *name,
 			 uint64_t now_us)
 {
 	service_t *service = engine_find_service(engine, service_name);
@@ -61,24 +61,24 @@
 	for (guint i = 0; service && i < service->upstreams->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
 
-		if (!g_str_equal(upstream->name, name) || upstream->leaving_said)
+		if (!g_str_equal(upstream->name, name) || upstream->leaving_reported)
 			continue;
-		upstream->leaving_said = true;
+		upstream->leaving_reported = true;
 		service->snapshot_stale = true;
 		timeline_add(engine->timeline,
 			     "event=upstream-leaving service=%s upstream=%s told_by=peer",
 			     service->name, name);
-		dispatch_evict(engine, upstream, now_us);
+		dispatch_reassign_waiting(engine, upstream, now_us);
 	}
 }
 
-static void forget_states(engine_t *engine, const service_t *service, uint64_t now_us)
+static void reset_upstream_states(engine_t *engine, const service_t *service, uint64_t now_us)
 {
 	for (guint i = 0; i < service->upstreams->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
 
 		upstream->state = UPSTREAM_UNKNOWN;
-		dispatch_evict(engine, upstream, now_us);
+		dispatch_reassign_waiting(engine, upstream, now_us);
 	}
 }
 
@@ -89,10 +89,10 @@
  */
 void engine_enter(engine_t *engine, uint64_t now_us)
 {
-	uint64_t before_us = engine->awake_us;
+	uint64_t before_us = engine->last_entered_us;
 
-	engine->awake_us = now_us;
-	if (!before_us || now_us - before_us < PAUSE_US)
+	engine->last_entered_us = now_us;
+	if (!before_us || now_us - before_us < PAUSE_MIN_US)
 		return;
 	timeline_add(engine->timeline, "event=paused for_us=%" G_GUINT64_FORMAT,
 		     now_us - before_us);
@@ -100,6 +100,6 @@
 		service_t *service = g_ptr_array_index(engine->services, i);
 
 		service->snapshot_stale = true;
-		forget_states(engine, service, now_us);
+		reset_upstream_states(engine, service, now_us);
 	}
 }
--- a/src/core/outcome.h
+++ b/src/core/outcome.h
@@ -44,8 +44,8 @@
 	const char *title;
 	int status; /**< HTTP status */
 	ran_t ran;
-	bool come_back;	 /**< whether trying again later can help */
-	const char *why; /**< why `ran` is true */
+	bool retryable;		/**< whether trying again later can help */
+	const char *ran_reason; /**< why `ran` is true */
 } refusal_class_t;
 
 const refusal_class_t *refusal_class(refusal_t refusal);
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -67,7 +67,7 @@
 
 		if (!g_str_equal(upstream->name, config->name))
 			continue;
-		return !upstream->leaving_said &&
+		return !upstream->leaving_reported &&
 		       (upstream->state == UPSTREAM_READY || upstream->state == UPSTREAM_COLD);
 	}
 	return false;
@@ -88,8 +88,8 @@
 		const upstream_config_t *is = g_ptr_array_index(new_group->upstreams, i);
 		bool working = works(service, was);
 
-		tally.before += working && !was->out;
-		tally.after += working && !is->out;
+		tally.before += working && !was->withdrawn;
+		tally.after += working && !is->withdrawn;
 	}
 	return tally;
 }
--- a/src/core/query.c
+++ b/src/core/query.c
@@ -30,7 +30,7 @@
 	g_assert(part->attempts->len == 0);
 	g_ptr_array_unref(part->replicas);
 	g_ptr_array_unref(part->tried);
-	g_ptr_array_unref(part->barred);
+	g_ptr_array_unref(part->excluded);
 	g_ptr_array_unref(part->attempts);
 	g_free(part);
 }
@@ -43,9 +43,9 @@
 	query->request = request;
 	query->parts = g_ptr_array_new_with_free_func(part_free);
 	query->missing = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	query->own_partition = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	query->single_partition = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	query->records = json_array();
-	query->seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	query->merged_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return query;
 }
 
@@ -63,9 +63,9 @@
 	g_ptr_array_unref(query->parts);
 	snapshot_unref(query->snapshot);
 	g_array_unref(query->missing);
-	g_array_unref(query->own_partition);
+	g_array_unref(query->single_partition);
 	json_decref(query->records);
-	g_hash_table_unref(query->seen);
+	g_hash_table_unref(query->merged_ids);
 	g_free(query);
 }
 
@@ -78,7 +78,7 @@
 	part->partitions = partitions;
 	part->replicas = g_ptr_array_ref(target->replicas);
 	part->tried = g_ptr_array_new();
-	part->barred = g_ptr_array_new();
+	part->excluded = g_ptr_array_new();
 	part->attempts = g_ptr_array_new();
 	g_ptr_array_add(query->parts, part);
 }
@@ -88,13 +88,14 @@
 {
 	const request_t *request = query->request;
 	const char *id = request->kind == SERVICE_LOOKUP ? request->record_id : request->key;
-	uint32_t partition = (uint32_t)(XXH64(id, strlen(id), 0) % query->snapshot->of);
+	uint32_t partition =
+		(uint32_t)(XXH64(id, strlen(id), 0) % query->snapshot->partition_count);
 	const target_t *target = snapshot_target_of(query->snapshot, partition);
 
-	g_array_set_size(query->own_partition, 0);
-	g_array_append_val(query->own_partition, partition);
+	g_array_set_size(query->single_partition, 0);
+	g_array_append_val(query->single_partition, partition);
 	if (target)
-		add_part(query, target, query->own_partition);
+		add_part(query, target, query->single_partition);
 	else
 		g_array_append_val(query->missing, partition);
 }
@@ -118,7 +119,7 @@
 	g_ptr_array_set_size(query->parts, 0);
 	g_array_set_size(query->missing, 0);
 	json_array_clear(query->records);
-	g_hash_table_remove_all(query->seen);
+	g_hash_table_remove_all(query->merged_ids);
 	if (query->request->kind == SERVICE_GATHER)
 		pin_all(query);
 	else
@@ -147,13 +148,13 @@
 		const char *id = json_string_value(json_object_get(record, "id"));
 
 		/* The same record from two partitions is what a doubled reminder is made of. */
-		if (id && !g_hash_table_add(query->seen, g_strdup(id)))
+		if (id && !g_hash_table_add(query->merged_ids, g_strdup(id)))
 			continue;
 		json_array_append(query->records, record);
 	}
 }
 
-bool query_is_settled(const query_t *query)
+bool query_is_done(const query_t *query)
 {
 	for (guint i = 0; i < query->parts->len; i++) {
 		const part_t *part = g_ptr_array_index(query->parts, i);
@@ -164,7 +165,7 @@
 	return true;
 }
 
-bool query_is_whole(const query_t *query)
+bool query_is_complete(const query_t *query)
 {
 	const GArray *missing =
 		query->request->kind == SERVICE_GATHER ? query->snapshot->missing : query->missing;
--- a/src/core/query.h
+++ b/src/core/query.h
@@ -68,7 +68,7 @@
 	const GArray *partitions; /**< uint32_t, rising */
 	GPtrArray *replicas;	  /**< upstream_t, borrowed from the snapshot */
 	GPtrArray *tried;	  /**< upstream_t asked, which may be asked again after a backoff */
-	GPtrArray *barred;	  /**< upstream_t that can't answer this part at this snapshot */
+	GPtrArray *excluded;	  /**< upstream_t that can't answer this part at this snapshot */
 	GPtrArray *attempts;	  /**< attempt_t that are live */
 	uint32_t backoffs;
 	timer_entry_t backoff;
@@ -84,15 +84,15 @@
 	gate_entry_t gate_entry;
 	uint64_t admitted_us;
 	snapshot_t *snapshot;
-	GArray *own_partition; /**< lookup: the one partition */
-	GPtrArray *parts;      /**< part_t */
+	GArray *single_partition; /**< lookup: the one partition */
+	GPtrArray *parts;	  /**< part_t */
 	GArray *missing;
 	json_t *records;
-	GHashTable *seen; /**< ids of records taken */
+	GHashTable *merged_ids; /**< ids of records taken */
 	timer_entry_t deadline;
 	uint32_t restarts;
-	timer_entry_t news; /**< waits for news of versions until then */
-	bool waited_for_news;
+	timer_entry_t versions_timer; /**< waits for news of versions until then */
+	bool waited_for_versions;
 	ran_t ran; /**< action: what is known */
 	bool sent; /**< some attempt was sent */
 	bool finished;
@@ -112,9 +112,9 @@
 /** Merge an accepted answer; records are taken once by id. */
 void query_merge(query_t *query, part_t *part, const reply_t *reply);
 /** Whether every part is answered or lost. */
-bool query_is_settled(const query_t *query);
+bool query_is_done(const query_t *query);
 /** Whether nothing is missing. */
-bool query_is_whole(const query_t *query);
+bool query_is_complete(const query_t *query);
 /** Partitions answered so far. */
 uint32_t query_answered(const query_t *query);
 /** Fill in @p answer from what has been gathered. */
--- a/src/core/reply.c
+++ b/src/core/reply.c
@@ -76,16 +76,16 @@
 	return true;
 }
 
-static bool parse_held(const json_t *item, GArray *list)
+static bool parse_index_version(const json_t *item, GArray *list)
 {
-	held_t held = {0};
+	index_version_t held = {0};
 	json_int_t version = json_integer_value(json_object_get(item, "version"));
 	json_int_t of = json_integer_value(json_object_get(item, "of"));
 
 	if (version <= 0 || of <= 0 || of > PARTITIONS_MAX)
 		return false;
 	held.version = (uint64_t)version;
-	held.of = (uint32_t)of;
+	held.partition_count = (uint32_t)of;
 	held.partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_array_append_val(list, held);
 	return parse_partitions(json_object_get(item, "partitions"), held.partitions);
@@ -103,7 +103,7 @@
 		return false;
 	report->has_versions = true;
 	json_array_foreach (versions, i, item) {
-		if (!parse_held(item, report->held))
+		if (!parse_index_version(item, report->held))
 			return false;
 	}
 	return true;
@@ -142,16 +142,16 @@
 	if (status == 200 && parse_answer(body, reply))
 		return REPLY_ANSWER;
 	if (status == 409 && error && g_str_equal(error, "version-not-held"))
-		return REPLY_NOT_HELD;
+		return REPLY_VERSION_NOT_HELD;
 	/* Only the searcher's own word makes a 503 "not run": a 503 alone proves nothing. */
 	if (status == 503 && ran && g_str_equal(ran, "no"))
 		return REPLY_SHED;
-	return REPLY_BAD;
+	return REPLY_INVALID;
 }
 
 reply_t *reply_parse(int status, const char *body, size_t body_bytes)
 {
-	reply_t *reply = reply_new(REPLY_BAD);
+	reply_t *reply = reply_new(REPLY_INVALID);
 	json_t *parsed = json_loadb(body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
 
 	if (json_is_object(parsed)) {
--- a/src/core/restart.c
+++ b/src/core/restart.c
@@ -7,14 +7,14 @@
  */
 #include "core/engine_private.h"
 
-#define RESTARTS_MOST 2
+#define RESTARTS_MAX 2
 /* How long after the last news of versions more news is worth waiting for. */
-#define NEWS_FRESH_US 1000000
-#define NEWS_WAIT_US 600000
+#define VERSION_CHANGE_RECENT_US 1000000
+#define VERSIONS_WAIT_US 600000
 
-static uint32_t usable_partitions(const snapshot_t *snapshot)
+static uint32_t available_partitions(const snapshot_t *snapshot)
 {
-	return snapshot->of - snapshot->missing->len;
+	return snapshot->partition_count - snapshot->missing->len;
 }
 
 /* Partitions that the query can still get at the snapshot it has pinned. */
@@ -37,7 +37,7 @@
 	return (double)query->deadline.at_us > (double)now_us + service->gate.run_us;
 }
 
-static bool gives_more(const query_t *query, const snapshot_t *fresh)
+static bool covers_more(const query_t *query, const snapshot_t *fresh)
 {
 	const snapshot_t *pinned = query->snapshot;
 
@@ -45,20 +45,20 @@
 		return false;
 	if (query->request->kind == SERVICE_LOOKUP)
 		return fresh->version != pinned->version;
-	return (uint64_t)usable_partitions(fresh) * pinned->of >
-	       (uint64_t)reachable_partitions(query) * fresh->of;
+	return (uint64_t)available_partitions(fresh) * pinned->partition_count >
+	       (uint64_t)reachable_partitions(query) * fresh->partition_count;
 }
 
 bool restart_try(engine_t *engine, query_t *query, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 
-	if (query->request->kind == SERVICE_ONCE || query->restarts >= RESTARTS_MOST ||
+	if (query->request->kind == SERVICE_ONCE || query->restarts >= RESTARTS_MAX ||
 	    !has_time(query, now_us))
 		return false;
 	service->snapshot_stale = true;
 	service_refresh_snapshot(service);
-	if (!service->snapshot || !gives_more(query, service->snapshot))
+	if (!service->snapshot || !covers_more(query, service->snapshot))
 		return false;
 	query->restarts++;
 	service->counters.restarts++;
@@ -67,21 +67,21 @@
 		     " to=%" G_GUINT64_FORMAT,
 		     query->request->id, service->name, query->snapshot->version,
 		     service->snapshot->version);
-	restart_forget(engine, query);
+	restart_stop_waiting(engine, query);
 	dispatch_stop(engine, query, now_us);
 	query_pin(query, service->snapshot);
 	engine_scatter(engine, query, now_us);
 	return true;
 }
 
-static void on_wait_over(void *ctx, uint64_t now_us)
+static void on_versions_wait_over(void *ctx, uint64_t now_us)
 {
 	query_t *query = ctx;
 	engine_t *engine = query->engine;
 
-	restart_forget(engine, query);
-	query->waited_for_news = true;
-	engine_check_settled(engine, query, now_us);
+	restart_stop_waiting(engine, query);
+	query->waited_for_versions = true;
+	engine_check_done(engine, query, now_us);
 }
 
 /*
@@ -90,40 +90,41 @@
  * the next health pages tell. Without the time limit on the news, a group that is really lost would
  * make every query wait.
  */
-bool restart_await(engine_t *engine, query_t *query, uint64_t now_us)
+bool restart_wait_for_versions(engine_t *engine, query_t *query, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 
-	if (query->news.place)
+	if (query->versions_timer.place)
 		return true;
-	if (query->request->kind == SERVICE_ONCE || query->restarts >= RESTARTS_MOST ||
-	    query->waited_for_news || !service->versions_moved_us ||
-	    now_us - service->versions_moved_us > NEWS_FRESH_US || !has_time(query, now_us))
+	if (query->request->kind == SERVICE_ONCE || query->restarts >= RESTARTS_MAX ||
+	    query->waited_for_versions || !service->versions_changed_us ||
+	    now_us - service->versions_changed_us > VERSION_CHANGE_RECENT_US ||
+	    !has_time(query, now_us))
 		return false;
-	query->news.fire = on_wait_over;
-	query->news.ctx = query;
-	timers_set(&engine->timers, &query->news, now_us + NEWS_WAIT_US);
-	g_ptr_array_add(service->awaiting, query);
+	query->versions_timer.fire = on_versions_wait_over;
+	query->versions_timer.ctx = query;
+	timers_set(&engine->timers, &query->versions_timer, now_us + VERSIONS_WAIT_US);
+	g_ptr_array_add(service->awaiting_versions, query);
 	engine->ops->refresh(engine->ctx, service);
 	return true;
 }
 
-void restart_forget(engine_t *engine, query_t *query)
+void restart_stop_waiting(engine_t *engine, query_t *query)
 {
-	if (!query->news.place)
+	if (!query->versions_timer.place)
 		return;
-	timers_cancel(&engine->timers, &query->news);
-	g_ptr_array_remove_fast(engine_service_of(query)->awaiting, query);
+	timers_cancel(&engine->timers, &query->versions_timer);
+	g_ptr_array_remove_fast(engine_service_of(query)->awaiting_versions, query);
 }
 
-void restart_news(engine_t *engine, service_t *service, uint64_t now_us)
+void restart_versions_changed(engine_t *engine, service_t *service, uint64_t now_us)
 {
-	g_autoptr(GPtrArray) list = g_ptr_array_copy(service->awaiting, NULL, NULL);
+	g_autoptr(GPtrArray) list = g_ptr_array_copy(service->awaiting_versions, NULL, NULL);
 
 	for (guint i = 0; i < list->len; i++) {
 		query_t *query = g_ptr_array_index(list, i);
 
-		if (query->news.place)
+		if (query->versions_timer.place)
 			restart_try(engine, query, now_us);
 	}
 }
--- a/src/core/service.c
+++ b/src/core/service.c
@@ -11,7 +11,7 @@
 #define RETRY_BURST 32
 #define RESCUE_SHARE 0.05
 #define RESCUE_BURST 128
-#define OVERLAP_MOST 4.0
+#define OVERLAP_MAX 4.0
 
 service_t *service_new(const char *name)
 {
@@ -19,7 +19,7 @@
 
 	service->name = g_strdup(name);
 	service->upstreams = g_ptr_array_new_with_free_func((GDestroyNotify)upstream_unref);
-	service->awaiting = g_ptr_array_new();
+	service->awaiting_versions = g_ptr_array_new();
 	gate_init(&service->gate);
 	budget_init(&service->hedge_budget, HEDGE_SHARE, HEDGE_BURST);
 	budget_init(&service->retry_budget, RETRY_SHARE, RETRY_BURST);
@@ -33,12 +33,11 @@
 
 	g_free(service->name);
 	g_ptr_array_unref(service->upstreams);
-	g_ptr_array_unref(service->awaiting);
+	g_ptr_array_unref(service->awaiting_versions);
 	snapshot_unref(service->snapshot);
 	g_free(service);
 }
-static upstream_t *take_upstream(service_t *service, GPtrArray *old,
-				 const upstream_config_t *config)
+static upstream_t *get_upstream(service_t *service, GPtrArray *old, const upstream_config_t *config)
 {
 	for (guint i = 0; i < old->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(old, i);
@@ -51,13 +50,13 @@
 	return upstream_new(service->name, config);
 }
 
-static bool was_out(const GHashTable *outs, const upstream_t *upstream)
+static bool was_withdrawn(const GHashTable *withdrawn_before, const upstream_t *upstream)
 {
-	return g_hash_table_contains((GHashTable *)outs, upstream);
+	return g_hash_table_contains((GHashTable *)withdrawn_before, upstream);
 }
 
 void service_configure(engine_t *engine, service_t *service, const config_t *config,
-		       const service_config_t *from, const GHashTable *outs)
+		       const service_config_t *from, const GHashTable *withdrawn_before)
 {
 	GPtrArray *old = service->upstreams;
 
@@ -72,16 +71,16 @@
 
 		for (guint j = 0; j < group->upstreams->len; j++) {
 			const upstream_config_t *item = g_ptr_array_index(group->upstreams, j);
-			upstream_t *upstream = take_upstream(service, old, item);
+			upstream_t *upstream = get_upstream(service, old, item);
 
 			/* An operator who takes it back in has the last word over an old "leaving".
 			 */
-			if (was_out(outs, upstream) && !item->out)
-				upstream->leaving_said = false;
+			if (was_withdrawn(withdrawn_before, upstream) && !item->withdrawn)
+				upstream->leaving_reported = false;
 			upstream->group = i;
-			upstream->out = item->out;
+			upstream->withdrawn = item->withdrawn;
 			upstream->local = g_str_equal(item->data_centre, engine->data_centre);
-			upstream->share = config_work_share(config, from);
+			upstream->share = config_request_share(config, from);
 			if (!engine->policy.adapt_limit)
 				upstream->limit = upstream->share;
 			g_ptr_array_add(service->upstreams, upstream);
@@ -121,7 +120,7 @@
 	const histogram_t *attempts = &service->attempt_latency;
 	double mean_us = attempts->count ? (double)attempts->sum_us / (double)attempts->count : 0;
 
-	return mean_us > 0 ? CLAMP(service->gate.run_us / mean_us, 1.0, OVERLAP_MOST) : 1.0;
+	return mean_us > 0 ? CLAMP(service->gate.run_us / mean_us, 1.0, OVERLAP_MAX) : 1.0;
 }
 
 /* A gather needs room in every target, so the tightest one bounds it; the others add up. */
--- a/src/core/snapshot.c
+++ b/src/core/snapshot.c
@@ -7,7 +7,7 @@
 /** One version while it is being compared with others. */
 typedef struct candidate_t {
 	uint64_t version;
-	uint32_t of;
+	uint32_t partition_count;
 	uint32_t covered;
 } candidate_t;
 
@@ -64,7 +64,8 @@
 		const upstream_t *upstream = g_ptr_array_index(upstreams, i);
 
 		for (guint j = 0; upstream_usable(upstream) && j < upstream->held->len; j++) {
-			uint64_t version = g_array_index(upstream->held, held_t, j).version;
+			uint64_t version =
+				g_array_index(upstream->held, index_version_t, j).version;
 			bool known = below && version >= below;
 
 			for (guint k = 0; !known && k < versions->len; k++)
@@ -83,42 +84,45 @@
  */
 static uint32_t agreed_partition_count(const GPtrArray *upstreams, uint64_t version)
 {
-	g_autoptr(GHashTable) votes_by_of = g_hash_table_new(NULL, NULL);
-	uint32_t best_of = 0, best_votes = 0;
+	g_autoptr(GHashTable) votes_by_count = g_hash_table_new(NULL, NULL);
+	uint32_t best_count = 0, best_votes = 0;
 
 	for (guint i = 0; i < upstreams->len; i++) {
-		const held_t *held = upstream_holds(g_ptr_array_index(upstreams, i), version);
+		const index_version_t *held =
+			upstream_find_version(g_ptr_array_index(upstreams, i), version);
 		gpointer key;
 		uint32_t votes;
 
 		if (!held)
 			continue;
-		key = GUINT_TO_POINTER(held->of);
-		votes = GPOINTER_TO_UINT(g_hash_table_lookup(votes_by_of, key)) + 1;
-		g_hash_table_insert(votes_by_of, key, GUINT_TO_POINTER(votes));
-		if (votes > best_votes || (votes == best_votes && held->of > best_of)) {
-			best_of = held->of;
+		key = GUINT_TO_POINTER(held->partition_count);
+		votes = GPOINTER_TO_UINT(g_hash_table_lookup(votes_by_count, key)) + 1;
+		g_hash_table_insert(votes_by_count, key, GUINT_TO_POINTER(votes));
+		if (votes > best_votes ||
+		    (votes == best_votes && held->partition_count > best_count)) {
+			best_count = held->partition_count;
 			best_votes = votes;
 		}
 	}
-	return best_of;
+	return best_count;
 }
 
 /* For each partition of the version, the usable replicas that hold it. */
 static GPtrArray **map_replicas(const GPtrArray *upstreams, const candidate_t *candidate)
 {
-	GPtrArray **map = g_new0(GPtrArray *, candidate->of);
+	GPtrArray **map = g_new0(GPtrArray *, candidate->partition_count);
 
 	for (guint i = 0; i < upstreams->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(upstreams, i);
-		const held_t *held = upstream_holds(upstream, candidate->version);
+		const index_version_t *held = upstream_find_version(upstream, candidate->version);
 
-		if (!held || held->of != candidate->of || !upstream_usable(upstream))
+		if (!held || held->partition_count != candidate->partition_count ||
+		    !upstream_usable(upstream))
 			continue;
 		for (guint j = 0; j < held->partitions->len; j++) {
 			uint32_t partition = g_array_index(held->partitions, uint32_t, j);
 
-			if (partition >= candidate->of)
+			if (partition >= candidate->partition_count)
 				continue;
 			if (!map[partition])
 				map[partition] = g_ptr_array_new();
@@ -141,49 +145,51 @@
 	GPtrArray **map = map_replicas(upstreams, candidate);
 	uint32_t covered = 0;
 
-	for (uint32_t i = 0; i < candidate->of; i++)
+	for (uint32_t i = 0; i < candidate->partition_count; i++)
 		covered += map[i] != NULL;
-	map_free(map, candidate->of);
+	map_free(map, candidate->partition_count);
 	return covered;
 }
 
 /** What the replicas of one group have told of a version. */
-typedef struct group_news_t {
-	bool tells; /* of some version */
-	bool holds; /* this one */
-} group_news_t;
+typedef struct group_versions_t {
+	bool has_versions;    /* of some version */
+	bool holds_candidate; /* this one */
+} group_versions_t;
 
 /*
  * A searcher alone with a version may say that the whole index is the part it holds. Believing it
  * would give its part as a whole answer. A map that is whole without a group which holds other
  * versions contradicts the configuration, so such a version is not used until that group holds it.
  */
-static bool is_credible(const GPtrArray *upstreams, const candidate_t *candidate)
+static bool is_consistent(const GPtrArray *upstreams, const candidate_t *candidate)
 {
-	g_autofree group_news_t *news = NULL;
+	g_autofree group_versions_t *by_group = NULL;
 	uint32_t groups = 0;
 
-	if (candidate->covered < candidate->of)
+	if (candidate->covered < candidate->partition_count)
 		return true;
 	for (guint i = 0; i < upstreams->len; i++)
 		groups = MAX(groups,
 			     ((const upstream_t *)g_ptr_array_index(upstreams, i))->group + 1);
-	news = g_new0(group_news_t, groups);
+	by_group = g_new0(group_versions_t, groups);
 	for (guint i = 0; i < upstreams->len; i++) {
 		const upstream_t *upstream = g_ptr_array_index(upstreams, i);
 
-		news[upstream->group].tells |= upstream->held->len > 0;
-		news[upstream->group].holds |= upstream_holds(upstream, candidate->version) != NULL;
+		by_group[upstream->group].has_versions |= upstream->held->len > 0;
+		by_group[upstream->group].holds_candidate |=
+			upstream_find_version(upstream, candidate->version) != NULL;
 	}
 	for (uint32_t group = 0; group < groups; group++)
-		if (news[group].tells && !news[group].holds)
+		if (by_group[group].has_versions && !by_group[group].holds_candidate)
 			return false;
 	return true;
 }
 
-static bool better(const candidate_t *a, const candidate_t *b)
+static bool is_better(const candidate_t *a, const candidate_t *b)
 {
-	uint64_t left = (uint64_t)a->covered * b->of, right = (uint64_t)b->covered * a->of;
+	uint64_t left = (uint64_t)a->covered * b->partition_count,
+		 right = (uint64_t)b->covered * a->partition_count;
 
 	if (left != right)
 		return left > right;
@@ -237,12 +243,12 @@
 
 	snapshot->refs = 1;
 	snapshot->version = candidate->version;
-	snapshot->of = candidate->of;
+	snapshot->partition_count = candidate->partition_count;
 	snapshot->targets = g_ptr_array_new_with_free_func(target_free);
 	snapshot->missing = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	for (uint32_t i = 0; i < candidate->of; i++)
+	for (uint32_t i = 0; i < candidate->partition_count; i++)
 		add_partition(snapshot, i, map[i]);
-	map_free(map, candidate->of);
+	map_free(map, candidate->partition_count);
 	return snapshot;
 }
 
@@ -254,11 +260,11 @@
 	for (guint i = 0; i < versions->len; i++) {
 		candidate_t candidate = {.version = g_array_index(versions, uint64_t, i)};
 
-		candidate.of = agreed_partition_count(upstreams, candidate.version);
+		candidate.partition_count = agreed_partition_count(upstreams, candidate.version);
 		candidate.covered = count_covered(upstreams, &candidate);
-		if (candidate.covered && is_credible(upstreams, &candidate) &&
-		    (!best.of || better(&candidate, &best)))
+		if (candidate.covered && is_consistent(upstreams, &candidate) &&
+		    (!best.partition_count || is_better(&candidate, &best)))
 			best = candidate;
 	}
-	return best.of ? build(upstreams, &best) : NULL;
+	return best.partition_count ? build(upstreams, &best) : NULL;
 }
--- a/src/core/snapshot.h
+++ b/src/core/snapshot.h
@@ -19,9 +19,9 @@
 typedef struct snapshot_t {
 	gint refs;
 	uint64_t version;
-	uint32_t of;	    /**< partitions in the map */
-	GPtrArray *targets; /**< target_t */
-	GArray *missing;    /**< partitions without a usable replica */
+	uint32_t partition_count; /**< partitions in the map */
+	GPtrArray *targets;	  /**< target_t */
+	GArray *missing;	  /**< partitions without a usable replica */
 } snapshot_t;
 
 /**
--- a/src/core/upstream.c
+++ b/src/core/upstream.c
@@ -7,31 +7,31 @@
 #include <math.h>
 
 /* Below 1: six VMs that each keep one request at every searcher already fill its slots thrice. */
-#define LIMIT_LEAST 0.34
-#define LIMIT_START 2.0
-#define LIMIT_CUT 0.8
-#define LIMIT_RAISE 0.2
+#define LIMIT_MIN 0.34
+#define LIMIT_INITIAL 2.0
+#define LIMIT_DECREASE_FACTOR 0.8
+#define LIMIT_INCREASE 0.2
 /* Above this multiple of the idle latency, requests are queueing at the searcher. */
 #define QUEUEING_RATIO 2.0
-#define LATENCY_WEIGHT 0.15
+#define LATENCY_EMA_WEIGHT 0.15
 #define MEDIAN_STEP 0.05
 /* Under lasting load the queue must not come to look like the idle latency within seconds. */
-#define FLOOR_MEMORY_US 120e6
+#define FLOOR_TIME_CONSTANT_US 120e6
 /* Knowledge of a slow replica fades, or it would never be tried again after it has recovered. */
-#define MEMORY_US 5e6
+#define LATENCY_TIME_CONSTANT_US 5e6
 #define REMOTE_COST 1.15
 #define FAILURES_TO_DOWN 3
 
-void held_clear(void *held)
+void index_version_clear(void *held)
 {
-	g_array_unref(((held_t *)held)->partitions);
+	g_array_unref(((index_version_t *)held)->partitions);
 }
 
-static GArray *held_list_new(void)
+static GArray *version_list_new(void)
 {
-	GArray *list = g_array_new(FALSE, FALSE, sizeof(held_t));
+	GArray *list = g_array_new(FALSE, FALSE, sizeof(index_version_t));
 
-	g_array_set_clear_func(list, held_clear);
+	g_array_set_clear_func(list, index_version_clear);
 	return list;
 }
 
@@ -39,7 +39,7 @@
 {
 	upstream_report_t *report = g_new0(upstream_report_t, 1);
 
-	report->held = held_list_new();
+	report->held = version_list_new();
 	return report;
 }
 
@@ -59,8 +59,8 @@
 	upstream->data_centre = g_strdup(config->data_centre);
 	upstream->address = g_strdup(config->address);
 	upstream->port = config->port;
-	upstream->held = held_list_new();
-	upstream->limit = LIMIT_START;
+	upstream->held = version_list_new();
+	upstream->limit = LIMIT_INITIAL;
 	upstream->share = 1;
 	g_queue_init(&upstream->waiting);
 	return upstream;
@@ -87,20 +87,20 @@
 
 bool upstream_usable(const upstream_t *upstream)
 {
-	return !upstream->out && !upstream->leaving_said &&
+	return !upstream->withdrawn && !upstream->leaving_reported &&
 	       (upstream->state == UPSTREAM_READY || upstream->state == UPSTREAM_COLD);
 }
 
-bool upstream_has_room(const upstream_t *upstream)
+bool upstream_has_capacity(const upstream_t *upstream)
 {
 	return upstream_usable(upstream) && upstream->outstanding < upstream->share &&
 	       upstream->outstanding < MAX((uint32_t)upstream->limit, 1);
 }
 
-const held_t *upstream_holds(const upstream_t *upstream, uint64_t version)
+const index_version_t *upstream_find_version(const upstream_t *upstream, uint64_t version)
 {
 	for (guint i = 0; i < upstream->held->len; i++) {
-		const held_t *held = &g_array_index(upstream->held, held_t, i);
+		const index_version_t *held = &g_array_index(upstream->held, index_version_t, i);
 
 		if (held->version == version)
 			return held;
@@ -108,14 +108,15 @@
 	return NULL;
 }
 
-static bool same_held(const GArray *a, const GArray *b)
+static bool same_versions(const GArray *a, const GArray *b)
 {
 	if (a->len != b->len)
 		return false;
 	for (guint i = 0; i < a->len; i++) {
-		const held_t *x = &g_array_index(a, held_t, i), *y = &g_array_index(b, held_t, i);
+		const index_version_t *x = &g_array_index(a, index_version_t, i),
+				      *y = &g_array_index(b, index_version_t, i);
 
-		if (x->version != y->version || x->of != y->of ||
+		if (x->version != y->version || x->partition_count != y->partition_count ||
 		    x->partitions->len != y->partitions->len)
 			return false;
 		for (guint j = 0; j < x->partitions->len; j++)
@@ -126,22 +127,23 @@
 	return true;
 }
 
-static void take_held(upstream_t *upstream, const GArray *held)
+static void replace_versions(upstream_t *upstream, const GArray *held)
 {
 	g_array_set_size(upstream->held, 0);
 	for (guint i = 0; i < held->len; i++) {
-		held_t copy = g_array_index(held, held_t, i);
+		index_version_t copy = g_array_index(held, index_version_t, i);
 
 		g_array_ref(copy.partitions);
 		g_array_append_val(upstream->held, copy);
 	}
 }
 
-bool upstream_report(upstream_t *upstream, const upstream_report_t *report)
+bool upstream_apply_report(upstream_t *upstream, const upstream_report_t *report)
 {
 	bool usable = upstream_usable(upstream);
 	bool restarted = upstream->state == UPSTREAM_DOWN;
-	bool versions_moved = report->has_versions && !same_held(upstream->held, report->held);
+	bool versions_changed =
+		report->has_versions && !same_versions(upstream->held, report->held);
 
 	/*
 	 * A health page may lag behind the answer that said "leaving", and a frozen searcher that
@@ -150,20 +152,20 @@
 	 * refused.
 	 */
 	if (report->state == UPSTREAM_LEAVING)
-		upstream->leaving_said = true;
+		upstream->leaving_reported = true;
 	else if (upstream->refusals >= FAILURES_TO_DOWN)
-		upstream->leaving_said = false;
+		upstream->leaving_reported = false;
 	upstream->refusals = 0;
 	if ((restarted || upstream->state == UPSTREAM_UNKNOWN) || report->state == UPSTREAM_COLD)
-		upstream->limit = MIN(upstream->limit, LIMIT_START);
+		upstream->limit = MIN(upstream->limit, LIMIT_INITIAL);
 	upstream->state = report->state;
 	upstream->failures = 0;
-	if (versions_moved)
-		take_held(upstream, report->held);
-	return versions_moved || usable != upstream_usable(upstream);
+	if (versions_changed)
+		replace_versions(upstream, report->held);
+	return versions_changed || usable != upstream_usable(upstream);
 }
 
-bool upstream_failed(upstream_t *upstream, bool refused)
+bool upstream_record_failure(upstream_t *upstream, bool refused)
 {
 	upstream->refusals = refused ? upstream->refusals + 1 : 0;
 	if (++upstream->failures < FAILURES_TO_DOWN || upstream->state == UPSTREAM_DOWN)
@@ -174,7 +176,7 @@
 
 double upstream_cost(const upstream_t *upstream, uint64_t now_us, double typical_us)
 {
-	double age = exp(-(double)(now_us - upstream->sampled_us) / MEMORY_US);
+	double age = exp(-(double)(now_us - upstream->sampled_us) / LATENCY_TIME_CONSTANT_US);
 	double latency = upstream->latency_us > 0 ? upstream->latency_us : typical_us;
 
 	if (latency > typical_us)
@@ -182,56 +184,57 @@
 	return (upstream->outstanding + 1) * latency * (upstream->local ? 1.0 : REMOTE_COST);
 }
 
-static void feed_latency(upstream_t *upstream, uint64_t now_us, double latency_us)
+static void update_latency(upstream_t *upstream, uint64_t now_us, double latency_us)
 {
 	uint64_t before_us = upstream->sampled_us ? upstream->sampled_us : now_us;
 
 	if (upstream->latency_us <= 0)
 		upstream->latency_us = upstream->median_us = upstream->floor_us = latency_us;
-	upstream->latency_us += LATENCY_WEIGHT * (latency_us - upstream->latency_us);
+	upstream->latency_us += LATENCY_EMA_WEIGHT * (latency_us - upstream->latency_us);
 	upstream->sampled_us = now_us;
 	upstream->median_us *= latency_us > upstream->median_us ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP;
 	if (upstream->median_us < upstream->floor_us)
 		upstream->floor_us = upstream->median_us;
 	else
-		upstream->floor_us += (upstream->median_us - upstream->floor_us) *
-				      MIN((double)(now_us - before_us) / FLOOR_MEMORY_US, 1.0);
+		upstream->floor_us +=
+			(upstream->median_us - upstream->floor_us) *
+			MIN((double)(now_us - before_us) / FLOOR_TIME_CONSTANT_US, 1.0);
 }
 
-static void cut_limit(upstream_t *upstream, uint64_t now_us)
+static void decrease_limit(upstream_t *upstream, uint64_t now_us)
 {
 	/* One burst of losses is one piece of news: cut once per round trip. */
-	if (now_us - upstream->decreased_us < (uint64_t)upstream->latency_us)
+	if (now_us - upstream->limit_decreased_us < (uint64_t)upstream->latency_us)
 		return;
-	upstream->decreased_us = now_us;
-	upstream->limit = MAX(upstream->limit * LIMIT_CUT, LIMIT_LEAST);
+	upstream->limit_decreased_us = now_us;
+	upstream->limit = MAX(upstream->limit * LIMIT_DECREASE_FACTOR, LIMIT_MIN);
 }
 
-void upstream_answered(upstream_t *upstream, uint64_t now_us, uint64_t latency_us)
+void upstream_record_answer(upstream_t *upstream, uint64_t now_us, uint64_t latency_us)
 {
 	upstream->answered++;
-	feed_latency(upstream, now_us, (double)latency_us);
+	update_latency(upstream, now_us, (double)latency_us);
 	/*
 	 * The median and not the mean: one answer in ten that is slow for reasons of its own is not
 	 * a queue, and cutting the limit for it would leave slots idle.
 	 */
 	if (upstream->median_us > QUEUEING_RATIO * upstream->floor_us)
-		cut_limit(upstream, now_us);
+		decrease_limit(upstream, now_us);
 	else if (upstream->outstanding >= (uint32_t)upstream->limit)
-		upstream->limit = MIN(upstream->limit + LIMIT_RAISE / MAX(upstream->limit, 1),
+		upstream->limit = MIN(upstream->limit + LIMIT_INCREASE / MAX(upstream->limit, 1),
 				      (double)upstream->share);
-	upstream->limit = MAX(upstream->limit, LIMIT_LEAST);
+	upstream->limit = MAX(upstream->limit, LIMIT_MIN);
 }
 
-void upstream_overloaded(upstream_t *upstream, uint64_t now_us)
+void upstream_record_overload(upstream_t *upstream, uint64_t now_us)
 {
-	cut_limit(upstream, now_us);
+	decrease_limit(upstream, now_us);
 }
 
-void upstream_outlasted(upstream_t *upstream, uint64_t now_us, uint64_t latency_us)
+void upstream_record_min_latency(upstream_t *upstream, uint64_t now_us, uint64_t latency_us)
 {
 	if ((double)latency_us > upstream->latency_us)
-		feed_latency(upstream, now_us, (double)latency_us);
+		update_latency(upstream, now_us, (double)latency_us);
 }
 
 const char *upstream_state_name(upstream_state_t state)
--- a/src/queries/status.c
+++ b/src/queries/status.c
@@ -28,10 +28,10 @@
 		"{s:s, s:s, s:I, s:i, s:i, s:i, s:i, s:f, s:I, s:I, s:I, s:I, s:I, s:I, s:I}",
 		"service", service->name, "kind", service_kind_name(service->kind), "snapshot",
 		(json_int_t)(snapshot ? snapshot->version : 0), "partitions",
-		snapshot ? (int)snapshot->of : 0, "missing",
+		snapshot ? (int)snapshot->partition_count : 0, "missing",
 		snapshot ? (int)snapshot->missing->len : 0, "running", (int)service->gate.running,
 		"waiting", (int)gate_waiting(&service->gate), "capacity", service->gate.capacity,
-		"whole", (json_int_t)counters->answers_whole, "partial",
+		"whole", (json_int_t)counters->answers_complete, "partial",
 		(json_int_t)counters->answers_partial, "first", (json_int_t)counters->first,
 		"hedges", (json_int_t)counters->hedges, "retries", (json_int_t)counters->retries,
 		"p50_us", (json_int_t)histogram_quantile_us(latency, 0.5), "p99_us",
@@ -59,12 +59,14 @@
 	for (guint i = 0; i < upstream->held->len; i++)
 		json_array_append_new(
 			versions,
-			json_integer((json_int_t)g_array_index(upstream->held, held_t, i).version));
+			json_integer((json_int_t)g_array_index(upstream->held, index_version_t, i)
+					     .version));
 	return json_pack(
 		"{s:s, s:s, s:s, s:s, s:b, s:o, s:i, s:f, s:i, s:I, s:I, s:I, s:I}", "service",
 		upstream->service, "upstream", upstream->name, "data_centre", upstream->data_centre,
-		"state", upstream->leaving_said ? "leaving" : upstream_state_name(upstream->state),
-		"out", upstream->out, "versions", versions, "outstanding",
+		"state",
+		upstream->leaving_reported ? "leaving" : upstream_state_name(upstream->state),
+		"out", upstream->withdrawn, "versions", versions, "outstanding",
 		(int)upstream->outstanding, "limit", upstream->limit, "share", (int)upstream->share,
 		"latency_us", (json_int_t)upstream->latency_us, "sent", (json_int_t)upstream->sent,
 		"shed", (json_int_t)upstream->shed, "cut", (json_int_t)upstream->cut);
@@ -157,7 +159,7 @@
 	for (int i = 0; i < CLASS_COUNT; i++)
 		add_counter(out, "ds_requests_total", name, "class",
 			    request_class_name((request_class_t)i), counters->requests[i]);
-	add_counter(out, "ds_answers_total", name, "complete", "true", counters->answers_whole);
+	add_counter(out, "ds_answers_total", name, "complete", "true", counters->answers_complete);
 	add_counter(out, "ds_answers_total", name, "complete", "false", counters->answers_partial);
 	for (int i = REFUSAL_NONE + 1; i < REFUSAL_COUNT; i++)
 		if (counters->refusals[i])
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -263,7 +263,7 @@
 			    bucket_call_new(task, bucket));
 }
 
-static void do_claim_ended(void *ctx, void *owner, claim_end_t end)
+static void do_claim_ended(void *ctx, void *owner, claim_result_t end)
 {
 	query_task_t *task = ctx;
 	query_t *query = owner;
@@ -415,7 +415,7 @@
 	query_task_t *task = self;
 	leaving_message_t *told = message;
 
-	engine_told_leaving(task->engine, told->service, told->upstream, loop_now_us());
+	engine_leave_notice(task->engine, told->service, told->upstream, loop_now_us());
 	g_free(told->service);
 	g_free(told->upstream);
 	g_free(told);
--- a/src/tasks/upstream_task.c
+++ b/src/tasks/upstream_task.c
@@ -98,7 +98,7 @@
 	case HTTP_END_NOT_SENT:
 		return reply_new(REPLY_NOT_SENT);
 	default:
-		return reply_new(REPLY_CUT);
+		return reply_new(REPLY_CONNECTION_LOST);
 	}
 }
 
--- a/standins/bench_core.c
+++ b/standins/bench_core.c
@@ -129,7 +129,7 @@
 		upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
 		upstream_report_t *report = upstream_report_new();
 		uint32_t group, of = service->upstreams->len / 3;
-		held_t held = {.version = 1, .of = of};
+		index_version_t held = {.version = 1, .partition_count = of};
 
 		sscanf(upstream->name, "s-%u-", &group);
 		held.partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
--- a/tests/front_matrix_test.c
+++ b/tests/front_matrix_test.c
@@ -333,7 +333,7 @@
 			       "\n## Pairs\n\nEvery two faults, one step apart, during each of the "
 			       "three: %u runs, %u broke a promise.\n",
 			       pairs, broken);
-	broken += !matrix_page_stands("docs/FAULTS-FORWARDING.md", page, argc, argv);
+	broken += !matrix_page_matches("docs/FAULTS-FORWARDING.md", page, argc, argv);
 	g_string_free(page, TRUE);
 	printf("fault matrix of forwarding: %u pairs, %u broken\n", pairs, broken);
 	return broken ? 1 : 0;
--- a/tests/matrix_page.h
+++ b/tests/matrix_page.h
@@ -10,7 +10,7 @@
 #include <stdio.h>
 
 /** With "write" as first argument write @p page to @p path; else tell whether it stands there. */
-static inline bool matrix_page_stands(const char *path, const GString *page, int argc, char **argv)
+static inline bool matrix_page_matches(const char *path, const GString *page, int argc, char **argv)
 {
 	g_autofree char *known = NULL;
 
--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -24,7 +24,7 @@
 typedef struct fault_t {
 	const char *name;
 	void (*inject)(scene_t *scene);
-	bool spares_answer; /**< a search or look-up must still come whole */
+	bool expects_complete_answer; /**< a search or look-up must still come whole */
 } fault_t;
 
 /** One step at which it comes: the given occurrence of what the VM does, or so long after asking.
@@ -374,7 +374,7 @@
 	}
 }
 
-static bool is_whole_or_gone(const scene_t *scene)
+static bool is_complete_or_gone(const scene_t *scene)
 {
 	const result_t *result = world_result(scene->world, "q");
 
@@ -393,8 +393,8 @@
 	scene.proposal_end = scene.racing_end = PROPOSAL_UNKNOWN;
 	play(&scene, kind);
 	describe(&scene, kind, out);
-	if (!second && fault->spares_answer && kind->service &&
-	    !g_str_equal(kind->service, "mail") && !is_whole_or_gone(&scene))
+	if (!second && fault->expects_complete_answer && kind->service &&
+	    !g_str_equal(kind->service, "mail") && !is_complete_or_gone(&scene))
 		g_string_append(scene.world->violations,
 				"not whole, though every group was served\n");
 	good = scene.world->violations->len == 0;
@@ -493,7 +493,7 @@
 			       "promise.\n",
 			       pairs, broken);
 	g_string_append(page, tail);
-	broken += !matrix_page_stands("docs/FAULTS.md", page, argc, argv);
+	broken += !matrix_page_matches("docs/FAULTS.md", page, argc, argv);
 	printf("fault matrix: %u pairs, %u broken\n", pairs, broken);
 	return broken ? 1 : 0;
 }
--- a/tests/pages_test.c
+++ b/tests/pages_test.c
@@ -14,7 +14,7 @@
 
 #include <cmocka.h>
 
-static void every_refusal_stands_in_the_page(void **state)
+static void api_page_lists_every_refusal(void **state)
 {
 	g_autofree char *page = NULL;
 	uint32_t rows = 0;
@@ -25,7 +25,7 @@
 		const refusal_class_t *class = refusal_class((refusal_t)i);
 		g_autofree char *row = g_strdup_printf(
 			"\n| %s | %d | %s |%s| %s |\n", class->type, class->status,
-			ran_name(class->ran), class->come_back ? " yes " : " ", class->why);
+			ran_name(class->ran), class->retryable ? " yes " : " ", class->ran_reason);
 
 		if (!strstr(page, row))
 			fail_msg("docs/API.md lacks:%s", row);
@@ -36,7 +36,7 @@
 
 int main(void)
 {
-	const struct CMUnitTest tests[] = {cmocka_unit_test(every_refusal_stands_in_the_page)};
+	const struct CMUnitTest tests[] = {cmocka_unit_test(api_page_lists_every_refusal)};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/random_test.c
+++ b/tests/random_test.c
@@ -98,7 +98,7 @@
 }
 
 /* Its health page goes on saying "ready". */
-static void leave_and_lie(world_t *world, replica_t *replica)
+static void leave_with_false_health(world_t *world, replica_t *replica)
 {
 	start_leaving(world, replica);
 	replica->lie_ready = true;
@@ -171,7 +171,7 @@
 				 flip_drop_reply,
 				 repartition,
 				 start_leaving,
-				 leave_and_lie,
+				 leave_with_false_health,
 				 flip_claim_fewer,
 				 flip_platform,
 				 flip_platform_slow,
--- a/tests/world.c
+++ b/tests/world.c
@@ -201,14 +201,15 @@
 	report->state = lies ? UPSTREAM_READY : replica->state;
 	report->has_versions = health;
 	for (size_t i = 0; health && i < G_N_ELEMENTS(replica->versions); i++) {
-		held_t held = {.version = replica->versions[i]};
+		index_version_t held = {.version = replica->versions[i]};
 		uint32_t per = per_group_at(replica, held.version);
 
 		if (!held.version)
 			continue;
-		held.of = partitions_at(replica, held.version);
+		held.partition_count = partitions_at(replica, held.version);
 		if (replica->claim_fewer)
-			held.of = (replica->group + 1) * per; /* as if the rest did not exist */
+			held.partition_count =
+				(replica->group + 1) * per; /* as if the rest did not exist */
 		held.partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 		for (uint32_t j = 0; j < per; j++) {
 			uint32_t partition = replica->group * per + j;
@@ -244,7 +245,7 @@
 	return GSIZE_TO_POINTER(attempt_id * WORLD_VMS_MAX + vm->index);
 }
 
-static void give_reply(world_t *world, sub_t *sub)
+static void deliver_reply(world_t *world, sub_t *sub)
 {
 	vm_t *vm = sub->vm;
 
@@ -258,8 +259,9 @@
 	}
 	sub->ended = true;
 	if (!sub->cancelled && sub->reply->report &&
-	    sub->reply->report->state == UPSTREAM_LEAVING && !sub->replica->told_us[vm->index])
-		sub->replica->told_us[vm->index] = world->now_us;
+	    sub->reply->report->state == UPSTREAM_LEAVING &&
+	    !sub->replica->leave_reported_us[vm->index])
+		sub->replica->leave_reported_us[vm->index] = world->now_us;
 	engine_attempt_ended(vm->engine, sub->attempt_id, g_steal_pointer(&sub->reply),
 			     world->now_us);
 	g_hash_table_remove(world->subs, sub_key(vm, sub->attempt_id));
@@ -268,14 +270,14 @@
 
 static void event_reply(world_t *world, void *data)
 {
-	give_reply(world, data);
+	deliver_reply(world, data);
 }
 
 static void send_reply(world_t *world, sub_t *sub, reply_kind_t kind)
 {
 	sub->reply = reply_new(kind);
-	if (kind != REPLY_NOT_SENT && kind != REPLY_CUT)
-		sub->reply->report = report_of(sub->replica, kind == REPLY_NOT_HELD);
+	if (kind != REPLY_NOT_SENT && kind != REPLY_CONNECTION_LOST)
+		sub->reply->report = report_of(sub->replica, kind == REPLY_VERSION_NOT_HELD);
 	later(world, HOP_US, event_reply, sub);
 }
 
@@ -313,7 +315,7 @@
 	replica_t *replica = sub->replica;
 
 	if (replica->dead) {
-		send_reply(world, sub, REPLY_CUT);
+		send_reply(world, sub, REPLY_CONNECTION_LOST);
 		return;
 	}
 	if (replica->frozen || (replica->drop_reply && sub->kind == SERVICE_ONCE)) {
@@ -366,10 +368,10 @@
 static void check_leaving(world_t *world, const sub_t *sub)
 {
 	const replica_t *replica = sub->replica;
-	uint64_t told_us = replica->told_us[sub->vm->index];
+	uint64_t leave_reported_us = replica->leave_reported_us[sub->vm->index];
 	uint64_t since_us = replica->leaving_since_us;
 
-	if (told_us && sub->sent_us > told_us)
+	if (leave_reported_us && sub->sent_us > leave_reported_us)
 		violated(world, "%s got new work from a VM that it had told it leaves",
 			 replica->name);
 	if (since_us && !replica->lie_ready && world->now_us > since_us + LEAVING_GRACE_US)
@@ -393,7 +395,7 @@
 	replica->last_new_work_us = world->now_us;
 	check_leaving(world, sub);
 	if (sub->kind != SERVICE_ONCE && !holds(replica, sub->version)) {
-		send_reply(world, sub, REPLY_NOT_HELD);
+		send_reply(world, sub, REPLY_VERSION_NOT_HELD);
 		return;
 	}
 	serve(world, sub);
@@ -514,7 +516,7 @@
 	result->answered_us = world->now_us;
 	if (answer->refusal == REFUSAL_NONE && query->request->kind != SERVICE_ONCE)
 		check_records(world, result, query, answer);
-	if (answer->refusal != REFUSAL_NONE && refusal_class(answer->refusal)->come_back &&
+	if (answer->refusal != REFUSAL_NONE && refusal_class(answer->refusal)->retryable &&
 	    !answer->retry_after_us)
 		violated(world, "%s: refused without saying when to come back", result->name);
 	if (world->now_us > result->deadline_us && vm->thawed_us < result->asked_us &&
@@ -585,7 +587,7 @@
 	g_free(call);
 }
 
-static void give_result(world_t *world, call_t *call)
+static void deliver_result(world_t *world, call_t *call)
 {
 	vm_t *vm = call->vm;
 	const platform_result_t *result = &call->result;
@@ -626,7 +628,7 @@
 	}
 	if (!is_gone(vm, call->incarnation) && !call->done) {
 		call->done = true;
-		give_result(world, call);
+		deliver_result(world, call);
 	}
 	call_unref(call);
 }
@@ -763,11 +765,11 @@
 	platform_call(ctx, &call);
 }
 
-static void do_claim_ended(void *ctx, void *owner, claim_end_t end)
+static void do_claim_ended(void *ctx, void *owner, claim_result_t end)
 {
 	vm_t *vm = ctx;
 
-	if (vm->world->on_step && end == CLAIM_OURS)
+	if (vm->world->on_step && end == CLAIM_ACQUIRED)
 		vm->world->on_step(vm->world->ctx, vm, "claimed");
 	engine_claimed(vm->engine, owner, end, vm->world->now_us);
 	query_unref(owner);
@@ -863,7 +865,8 @@
 
 	vm->dead = vm->frozen = false;
 	for (guint i = 0; i < world->replicas->len; i++)
-		((replica_t *)g_ptr_array_index(world->replicas, i))->told_us[vm->index] = 0;
+		((replica_t *)g_ptr_array_index(world->replicas, i))->leave_reported_us[vm->index] =
+			0;
 	vm->timeline = timeline_new(clock_wall_ms);
 	vm->engine =
 		engine_new(&engine_ops, vm, vm->timeline, g_rand_int(world->rand), vm->data_centre);
@@ -916,7 +919,7 @@
 	if (g_rand_boolean(world->rand))
 		vm_run(vm);
 	while ((sub = g_queue_pop_head(&vm->inbox)))
-		give_reply(world, sub);
+		deliver_reply(world, sub);
 }
 
 void world_leave(world_t *world, replica_t *replica)
@@ -931,7 +934,7 @@
 	replica->dead = replica->lie_ready = false;
 	replica->state = UPSTREAM_READY;
 	replica->leaving_since_us = 0;
-	memset(replica->told_us, 0, sizeof(replica->told_us));
+	memset(replica->leave_reported_us, 0, sizeof(replica->leave_reported_us));
 }
 
 uint64_t world_config_number(const world_t *world, uint32_t vm)
--- a/tests/world.h
+++ b/tests/world.h
@@ -31,8 +31,9 @@
 					none */
 	uint64_t busy_until_us[WORLD_SLOTS];
 	uint64_t leaving_since_us, last_new_work_us;
-	uint64_t told_us[WORLD_VMS_MAX]; /**< when an answer first told that VM that it leaves */
-	GHashTable *effects;		 /**< idempotency key -> times run */
+	uint64_t leave_reported_us[WORLD_VMS_MAX]; /**< when an answer first told that VM that it
+						      leaves */
+	GHashTable *effects;			   /**< idempotency key -> times run */
 } replica_t;
 
 typedef struct vm_t {
