--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -1,13 +1,14 @@
 /**
  * @file engine.c
- * Requests: admission, the pinned snapshot, the one answer.
+ * Requests: admission, pinning of a snapshot, the answer.
  */
 #include "core/engine_private.h"
 
 #include <string.h>
 
-/* What is left to write the answer and let it travel. */
+/* Time reserved before the deadline to write the answer and deliver it over the network. */
 #define ANSWER_MARGIN_US 4000
+/* Range of the random Retry-After while no upstream or no claim is available. */
 #define OUTAGE_RETRY_MIN_US 500000
 #define OUTAGE_RETRY_MAX_US 2000000
 
@@ -99,7 +100,7 @@
 
 			if (upstream->withdrawn)
 				g_hash_table_add(withdrawn_before, upstream);
-			/* What the new configuration does not name again gets nothing new. */
+			/* Upstreams that the new configuration does not name get no new work. */
 			upstream->withdrawn = true;
 			g_ptr_array_add(before, upstream_ref(upstream));
 		}
@@ -204,7 +205,7 @@
 {
 	uint32_t pin = query->restarts;
 
-	/* Asking may end the query, or pin it anew: then the parts listed here are gone. */
+	/* Dispatching may end the query or restart it, which frees the parts of this pin. */
 	for (guint i = 0; !query->finished && pin == query->restarts && i < query->parts->len; i++)
 		dispatch_part(engine, g_ptr_array_index(query->parts, i), ATTEMPT_FIRST, now_us);
 	engine_check_done(engine, query, now_us);
@@ -253,7 +254,7 @@
 		query_finish(engine, query, REFUSAL_NO_TIME, now_us);
 	} else if (query->request->kind != SERVICE_ONCE) {
 		refuse_or_answer(engine, query, now_us);
-	} else if (!query->snapshot) { /* the claim is not settled; a late one is released */
+	} else if (!query->snapshot) { /* no claim result yet; a late claim is released */
 		query_finish(engine, query, REFUSAL_NO_CLAIM, now_us);
 	} else if (action_was_sent(query)) {
 		engine_action_ended(engine, query, REFUSAL_OUTCOME_UNKNOWN, RAN_UNKNOWN, now_us);
@@ -313,7 +314,7 @@
 
 	engine_enter(engine, now_us);
 	if (query->finished) {
-		/* Answered as not run while the claim was on its way: give the key back. */
+		/* Answered as not run while the claim was in flight: release the claim. */
 		if (end == CLAIM_ACQUIRED)
 			engine->ops->claim_outcome(engine->ctx, query, RAN_NO);
 		return;
@@ -324,9 +325,9 @@
 	}
 	service_refresh_snapshot(service);
 	/*
-	 * A holder that was paused between claim and send comes back here long after its deadline.
-	 * The caller has been told nothing yet and must be told "not run"; sending now would make
-	 * that a lie when the caller asks again elsewhere.
+	 * If this VM was paused between claim and send, it continues here long after the deadline.
+	 * The caller has no answer yet and must be answered "not run". If the action were sent now,
+	 * that answer would be false by the time the caller retries through another VM.
 	 */
 	if (now_us >= query->deadline.at_us || !service->snapshot) {
 		engine_action_ended(engine, query,
@@ -352,7 +353,7 @@
 		start_query(engine, entry->owner, now_us);
 }
 
-/* A waiting request is refused as soon as it can't be answered in time any more. */
+/* The latest start that lets a waiting request be answered in time; then it is refused. */
 static uint64_t admission_deadline_us(const service_t *service, const request_t *request,
 				      uint64_t now_us)
 {
@@ -425,7 +426,7 @@
 		return;
 	service->counters.abandoned++;
 	query->owner = NULL;
-	/* An action that is claimed or sent goes on to its end, so that its outcome is recorded. */
+	/* A claimed or sent action runs to its end, so that its outcome is recorded. */
 	if (query->request->kind == SERVICE_ONCE && query->admitted_us)
 		return;
 	query_end(engine, query, now_us);
--- a/src/core/engine_private.h
+++ b/src/core/engine_private.h
@@ -1,7 +1,8 @@
 /**
  * @file engine_private.h
- * What the parts of the engine share: engine.c (requests), dispatch.c (sub-requests), restart.c
- * (versions that change), news.c (what is heard of searchers), service.c (a service at run time).
+ * Declarations shared by the engine's source files: engine.c (requests), dispatch.c (sub-requests),
+ * restart.c (changes of versions), news.c (status reports of searchers), service.c (runtime state
+ * of a service).
  */
 #ifndef DS_ENGINE_PRIVATE_H
 #define DS_ENGINE_PRIVATE_H
@@ -21,41 +22,44 @@
 	uint64_t last_attempt_id;
 	uint32_t open_queries;
 	uint32_t round_robin;
-	uint64_t last_entered_us; /* when the engine was last entered */
-	uint64_t stray_replies;	  /* late, doubled or foreign */
+	uint64_t last_entered_us; /* when engine_enter() was last called */
+	uint64_t stray_replies;	  /* late, duplicate or misrouted */
 };
 
 /* dispatch.c */
 
-/** Start asking for @p part: send, or wait for room, or find that nobody is left to ask. */
+/**
+ * Start an attempt for @p part: send it, or queue it until a replica has capacity. If no replica is
+ * left to ask, back off or declare the part lost.
+ */
 void dispatch_part(engine_t *engine, part_t *part, attempt_kind_t kind, uint64_t now_us);
-/** End every attempt of @p query, and its parts' timers. */
+/** End every attempt of @p query and cancel its parts' timers. */
 void dispatch_stop(engine_t *engine, query_t *query, uint64_t now_us);
-/** @p upstream may have room again: send what waits for it. */
+/** @p upstream may have capacity again: send the attempts that wait for it. */
 void dispatch_send_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us);
-/** @p upstream takes no new work any more: let those who wait for it look elsewhere. */
+/** @p upstream takes no new work any more: dispatch the attempts that wait for it again. */
 void dispatch_reassign_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us);
 
 /* engine.c */
 
 service_t *engine_service_of(const query_t *query);
 service_t *engine_find_service(const engine_t *engine, const char *name);
-/** Ask for every part of @p query. */
+/** Dispatch every part of @p query. */
 void engine_scatter(engine_t *engine, query_t *query, uint64_t now_us);
-/** @p part can't be answered at this snapshot: restart the query at another, or go without. */
+/** @p part can't be answered at this snapshot: restart the query at another, or leave it out. */
 void engine_part_lost(engine_t *engine, part_t *part, uint64_t now_us);
-/** A part has been answered or lost: answer the query if that was the last. */
+/** Answer @p query if every part has been answered or lost. */
 void engine_check_done(engine_t *engine, query_t *query, uint64_t now_us);
-/** An action ended without or with an effect; answers it. */
+/** Record whether an action ran, as @p ran, and answer it with @p refusal. */
 void engine_action_ended(engine_t *engine, query_t *query, refusal_t refusal, ran_t ran,
 			 uint64_t now_us);
 
 /* news.c */
 
-/** Every entry from outside goes through here: notices that the process had been paused. */
+/** Note a call from outside at @p now_us; detects that the process was paused before it. */
 void engine_enter(engine_t *engine, uint64_t now_us);
 
-/** Take in what a searcher said of itself, from whichever side. */
+/** Apply a searcher's status report, from a health page or a reply. */
 void engine_apply_report(engine_t *engine, upstream_t *upstream, const upstream_report_t *report,
 			 uint64_t now_us);
 
@@ -63,25 +67,30 @@
 
 service_t *service_new(const char *name);
 void service_free(void *service);
-/** Take up @p from; searchers that stay keep what is known of them. @p withdrawn_before: those that
- * were out.
+/**
+ * Configure @p service from @p from. Searchers that it names again keep their status and
+ * statistics.
+ * @param withdrawn_before the searchers that the previous configuration had withdrawn
  */
 void service_configure(engine_t *engine, service_t *service, const config_t *config,
 		       const service_config_t *from, const GHashTable *withdrawn_before);
-/** Choose the service's snapshot anew if what is known has changed. */
+/** Choose the service's snapshot again if it is marked stale. */
 void service_refresh_snapshot(service_t *service);
-/** Requests that may run at once. */
+/** Number of requests that may run at once. */
 double service_capacity(const service_t *service);
 
 /* restart.c */
 
-/** Begin @p query anew if another snapshot gives more; true if it did. */
+/** Restart @p query if another snapshot covers more; returns true if it restarted. */
 bool restart_try(engine_t *engine, query_t *query, uint64_t now_us);
-/** Whether @p query, settled but not whole, should wait for news of versions; it then waits. */
+/**
+ * Let @p query, done but not complete, wait for a change of versions if that can help; returns true
+ * if it waits.
+ */
 bool restart_wait_for_versions(engine_t *engine, query_t *query, uint64_t now_us);
-/** @p query waits no longer. */
+/** Stop the wait of @p query for a change of versions. */
 void restart_stop_waiting(engine_t *engine, query_t *query);
-/** Something was heard of the service's searchers: let those who wait try. */
+/** A searcher's versions or usability changed: try to restart the queries that wait. */
 void restart_versions_changed(engine_t *engine, service_t *service, uint64_t now_us);
 
 #endif
