--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -1,24 +1,27 @@
 /**
  * @file dispatch.c
- * Sub-requests: which replica, when to wait, when to ask a second one, when to give up.
+ * Sub-requests: choice of the replica, queueing for capacity, hedges, rescues, retries and backoff.
  *
- * docs/decisions/0002-stragglers.md weighs the ways and gives the figures.
+ * docs/decisions/0002-stragglers.md compares the alternatives and gives measurements.
  */
 #include "core/engine_private.h"
 
 #include <string.h>
 
-/* A replica this many times costlier than the best is not used while another can be. */
+/* Replicas whose cost exceeds this multiple of the lowest cost are not candidates. */
 #define OUTLIER_RATIO 4.0
 #define HEDGE_QUANTILE 0.95
 #define HEDGE_SAMPLES_MIN 64
 #define HEDGE_DELAY_INITIAL_US 20000
 #define HEDGE_DELAY_MIN_US 1000
-/* An attempt this many hedge delays old was swallowed rather than slow. */
+/* An attempt without an answer after this many hedge delays is taken for lost, not for slow. */
 #define RESCUE_DELAYS 5
+/* The histogram of attempt latencies fades whenever it holds this many samples. */
 #define FADE_SAMPLES 4096
+/* The backoff doubles from BACKOFF_US at most BACKOFF_DOUBLINGS times. */
 #define BACKOFF_US 3000
 #define BACKOFF_DOUBLINGS 5
+/* How much later a request of the next lower class counts as admitted, in upstream queues. */
 #define CLASS_HEAD_START_US 50000u
 
 /* ---- replica choice ---- */
@@ -71,8 +74,8 @@
 }
 
 /*
- * Limits below 1 only mean something for a group as a whole: were each searcher given one request
- * by each VM all the same, six VMs would fill its two slots three times over.
+ * Limits below 1 take effect only when summed over the replicas of a group. If every VM sent each
+ * searcher one request regardless, six VMs would fill a searcher's two slots three times over.
  */
 static bool group_has_capacity(const engine_t *engine, const part_t *part)
 {
@@ -90,7 +93,7 @@
 	return outstanding < MAX((uint32_t)(limit + 0.5), 1);
 }
 
-/* Two at random, the cheaper of them that has room. */
+/* Of two random replicas with capacity, the cheaper one. */
 static upstream_t *choose_replica(engine_t *engine, const part_t *part, const choice_t *choice)
 {
 	uint32_t open[64], count = 0, first, second;
@@ -202,12 +205,12 @@
 	engine->ops->send(engine->ctx, attempt);
 }
 
-/* ---- waiting for room ---- */
+/* ---- waiting for capacity ---- */
 
 /*
- * A more urgent class goes before what was admitted shortly before it, not before everything: with
- * a strict order parts of the lower classes would wait here for as long as urgent work keeps
- * coming.
+ * An attempt of a more urgent class overtakes attempts of lower classes only if those were admitted
+ * within CLASS_HEAD_START_US before it per class of difference. With strict priority, parts of the
+ * lower classes would wait for as long as urgent requests keep arriving.
  */
 static uint64_t queue_position_us(const attempt_t *attempt)
 {
@@ -238,7 +241,9 @@
 		g_queue_push_head_link(&upstream->waiting, &waiter->link);
 }
 
-/* Room at one searcher is room for its group, too: whoever waits there waits at each of the group.
+/*
+ * Capacity at one searcher is capacity of its group, too: an attempt waits in the queue of every
+ * candidate of its group.
  */
 void dispatch_send_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us)
 {
@@ -268,7 +273,7 @@
 	}
 }
 
-/* ---- a part's course ---- */
+/* ---- parts ---- */
 
 static void on_backoff(void *ctx, uint64_t now_us)
 {
@@ -278,7 +283,10 @@
 	dispatch_part(part->query->engine, part, ATTEMPT_RETRY, now_us);
 }
 
-/* Everyone has been asked once. Those who only shed or were cut off may be asked again, later. */
+/*
+ * Every replica has been asked once. Replicas that shed the request or lost its connection may be
+ * asked again after a backoff.
+ */
 static void back_off(engine_t *engine, part_t *part, uint64_t now_us)
 {
 	double base = (double)(BACKOFF_US << MIN(part->backoffs, BACKOFF_DOUBLINGS));
@@ -346,7 +354,7 @@
 {
 	service_t *service = engine_service_of(part->query);
 
-	/* Under overload a hedge takes the place of somebody's first attempt. */
+	/* Under overload a hedge would take the capacity of another query's first attempt. */
 	if (gate_waiting(&service->gate) || part->attempts->len > 1 ||
 	    !any_replica_has_capacity(engine, part, now_us) ||
 	    !budget_spend(&service->hedge_budget))
@@ -355,11 +363,12 @@
 }
 
 /*
- * A connection that something in between has forgotten swallows requests without an error. The
- * hedge budget is too small when many connections go silent at once: parts would stay unanswered
- * until the deadline. So an attempt that is far older than a slow answer may be replaced from a
- * budget of its own, even at a replica that was tried; the new attempt uses another connection,
- * and the silent one is closed when the attempt is cancelled.
+ * If a device on the path drops the state of a connection, requests on that connection are lost
+ * without an error. When many connections fail this way at once, the hedge budget is too small and
+ * parts would stay unanswered until the deadline. Therefore an attempt that is far older than a
+ * slow answer may be replaced from a separate budget, even at a replica that was already tried.
+ * This is enough since the new attempt uses another connection, and the dead connection is closed
+ * when the old attempt is cancelled.
  */
 static void rescue(engine_t *engine, part_t *part, attempt_t *attempt, uint64_t now_us)
 {
@@ -393,7 +402,7 @@
 	rescue(engine, part_of(attempt), attempt, now_us);
 }
 
-/* ---- ends ---- */
+/* ---- results of attempts ---- */
 
 static void cancel_attempt(engine_t *engine, attempt_t *attempt, uint64_t now_us)
 {
@@ -402,7 +411,10 @@
 
 	if (upstream) {
 		engine->ops->cancel(engine->ctx, attempt);
-		/* The loser took at least this long: without it a straggler would look untried. */
+		/*
+		 * The latency is at least this long; without the sample a straggler would look
+		 * untried.
+		 */
 		upstream_record_min_latency(upstream, now_us, waited_us);
 	}
 	attempt_free(engine, attempt);
@@ -432,7 +444,10 @@
 
 void dispatch_stop(engine_t *engine, query_t *query, uint64_t now_us)
 {
-	/* First those that wait, or a place freed below would go to another part of this query. */
+	/*
+	 * Waiting attempts go first; otherwise capacity that is freed below would be given to
+	 * another part of this query.
+	 */
 	for (guint i = 0; i < query->parts->len; i++)
 		drop_waiting_attempts(engine, g_ptr_array_index(query->parts, i));
 	for (guint i = 0; i < query->parts->len; i++)
@@ -468,7 +483,7 @@
 	query_unref(query);
 }
 
-/* The part goes on elsewhere, unless another attempt for it is still out. */
+/* Retry the part, unless another attempt for it is still waiting or sent. */
 static void retry_part(engine_t *engine, part_t *part, bool costs_budget, uint64_t now_us)
 {
 	service_t *service = engine_service_of(part->query);
@@ -482,7 +497,10 @@
 	dispatch_part(engine, part, ATTEMPT_RETRY, now_us);
 }
 
-/* The attempt itself says nothing of the part any more: the query went on without it. */
+/*
+ * Whether the query finished or restarted since, so that an attempt's failure no longer concerns
+ * it.
+ */
 static bool query_has_moved_on(const query_t *query, uint32_t restarts)
 {
 	return query->finished || query->restarts != restarts;
@@ -494,7 +512,7 @@
 	service_t *service = engine_service_of(query);
 
 	switch (kind) {
-	case REPLY_ANSWER: /* of another version or other partitions: never merged */
+	case REPLY_ANSWER: /* for another version or other partitions: never merged */
 	case REPLY_INVALID:
 		service->counters.mismatched++;
 		timeline_add(engine->timeline,
@@ -550,7 +568,7 @@
 
 	engine_enter(engine, now_us);
 	attempt = g_hash_table_lookup(engine->attempts, &attempt_id);
-	/* Ids are never used twice, so what is not found is late, doubled or foreign. */
+	/* Ids are never reused, so an unknown id means a late, duplicate or misrouted reply. */
 	if (!attempt || !attempt->upstream) {
 		engine->stray_replies++;
 		reply_free(reply);
