--- a/src/core/restart.c
+++ b/src/core/restart.c
@@ -1,15 +1,16 @@
 /**
  * @file restart.c
- * Index versions that change under a running query: begin anew at another snapshot, or wait briefly
- * for news of one. Two snapshots are never mixed, not even to fill a gap.
+ * Index versions that change while a query runs: the query restarts at another snapshot, or waits
+ * briefly for a change of versions. An answer never mixes two snapshots, not even to fill a gap.
  *
- * docs/decisions/0001-one-snapshot.md weighs the ways.
+ * docs/decisions/0001-one-snapshot.md compares the alternatives.
  */
 #include "core/engine_private.h"
 
 #define RESTARTS_MAX 2
-/* How long after the last news of versions more news is worth waiting for. */
+/* A query waits only if versions changed at most this long ago. */
 #define VERSION_CHANGE_RECENT_US 1000000
+/* How long a query waits for a change of versions. */
 #define VERSIONS_WAIT_US 600000
 
 static uint32_t available_partitions(const snapshot_t *snapshot)
@@ -17,7 +18,7 @@
 	return snapshot->partition_count - snapshot->missing->len;
 }
 
-/* Partitions that the query can still get at the snapshot it has pinned. */
+/* Number of partitions that can still be answered at the snapshot that the query has pinned. */
 static uint32_t reachable_partitions(const query_t *query)
 {
 	uint32_t reachable = 0;
@@ -85,10 +86,10 @@
 }
 
 /*
- * When versions have just changed, what is known of some searchers is older than of others, and no
- * version looks whole. Answering then would give a partial answer although every group is served;
- * the next health pages tell. Without the time limit on the news, a group that is really lost would
- * make every query wait.
+ * Just after versions changed, the latest reports of some searchers are older than those of others,
+ * and no version looks complete. Answering at once would give a partial answer although every group
+ * is served; the next health pages show the versions. Without VERSION_CHANGE_RECENT_US, a group
+ * that is really lost would make every query wait.
  */
 bool restart_wait_for_versions(engine_t *engine, query_t *query, uint64_t now_us)
 {
