--- a/src/core/query.c
+++ b/src/core/query.c
@@ -83,7 +83,7 @@
 	g_ptr_array_add(query->parts, part);
 }
 
-/* A lookup asks the partition of its record; an action goes by its key, to spread the work. */
+/* A lookup asks the partition of its record; an action is spread over partitions by its key. */
 static void pin_one(query_t *query)
 {
 	const request_t *request = query->request;
@@ -147,7 +147,10 @@
 	json_array_foreach (reply->records, i, record) {
 		const char *id = json_string_value(json_object_get(record, "id"));
 
-		/* The same record from two partitions is what a doubled reminder is made of. */
+		/*
+		 * A record that came from two partitions and was kept twice would cause a duplicate
+		 * reminder.
+		 */
 		if (id && !g_hash_table_add(query->merged_ids, g_strdup(id)))
 			continue;
 		json_array_append(query->records, record);
