--- a/src/core/config.c
+++ b/src/core/config.c
@@ -64,7 +64,7 @@
 	g_free(service);
 }
 
-/* Names go into paths, logs and metrics, so they are kept to letters that need no quoting. */
+/* Names appear in paths, logs and metrics, so they consist of characters that need no quoting. */
 static bool name_is_valid(const char *name)
 {
 	size_t length = strlen(name);
@@ -100,15 +100,15 @@
 	return true;
 }
 
-static bool get_integer(const json_t *object, const char *key, const char *path, uint32_t least,
-			uint32_t most, uint32_t *out, err_t *err)
+static bool get_integer(const json_t *object, const char *key, const char *path, uint32_t min,
+			uint32_t max, uint32_t *out, err_t *err)
 {
 	const json_t *value = json_object_get(object, key);
 	json_int_t number = json_integer_value(value);
 
-	if (!json_is_integer(value) || number < least || number > most)
+	if (!json_is_integer(value) || number < min || number > max)
 		return err_set(err, ERR_VALUE, "%s.%s: must be a whole number from %u to %u", path,
-			       key, least, most);
+			       key, min, max);
 	*out = (uint32_t)number;
 	return true;
 }
@@ -239,7 +239,7 @@
 	return true;
 }
 
-/* Two searchers of one name in a service would share one runtime state and one limit. */
+/* Two searchers of the same name in a service would share one runtime state and one limit. */
 static bool check_unique_names(const service_config_t *service, err_t *err)
 {
 	g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
@@ -252,14 +252,14 @@
 
 			if (!g_hash_table_add(seen, upstream->name))
 				return err_set(err, ERR_VALUE,
-					       "services.%s: searcher \"%s\" stands twice",
+					       "services.%s: searcher \"%s\" is listed twice",
 					       service->name, upstream->name);
 		}
 	}
 	return true;
 }
 
-/* A mistyped name in "out" would silently leave a searcher at work that should leave. */
+/* With a mistyped name in "out", a searcher that should be withdrawn would silently stay in use. */
 static bool check_withdrawn_names(const config_t *config, err_t *err)
 {
 	g_autoptr(GHashTable) known = g_hash_table_new(g_str_hash, g_str_equal);
