--- a/src/core/snapshot.c
+++ b/src/core/snapshot.c
@@ -1,10 +1,10 @@
 /**
  * @file snapshot.c
- * See snapshot.h. docs/decisions/0001-one-snapshot.md weighs the ways.
+ * See snapshot.h. docs/decisions/0001-one-snapshot.md compares the alternatives.
  */
 #include "core/snapshot.h"
 
-/** One version while it is being compared with others. */
+/** One version and its coverage, to compare it with other versions. */
 typedef struct candidate_t {
 	uint64_t version;
 	uint32_t partition_count;
@@ -78,9 +78,10 @@
 }
 
 /*
- * How many partitions the version has: what most holders say, the larger of equals. One replica
- * that says too few would make a partial answer look whole; one that says too many would make
- * every answer look partial. Replicas outside the majority are not used for the version.
+ * The number of partitions in a version: the count that most of its holders report, of equally
+ * frequent ones the larger. Otherwise a replica that reports too few would make a partial answer
+ * look complete, and one that reports too many would make every answer look partial. Replicas that
+ * report another count are not used for the version.
  */
 static uint32_t agreed_partition_count(const GPtrArray *upstreams, uint64_t version)
 {
@@ -107,7 +108,7 @@
 	return best_count;
 }
 
-/* For each partition of the version, the usable replicas that hold it. */
+/* Returns for each partition of the version the usable replicas that hold it. */
 static GPtrArray **map_replicas(const GPtrArray *upstreams, const candidate_t *candidate)
 {
 	GPtrArray **map = g_new0(GPtrArray *, candidate->partition_count);
@@ -132,9 +133,9 @@
 	return map;
 }
 
-static void map_free(GPtrArray **map, uint32_t of)
+static void map_free(GPtrArray **map, uint32_t partition_count)
 {
-	for (uint32_t i = 0; i < of; i++)
+	for (uint32_t i = 0; i < partition_count; i++)
 		if (map[i])
 			g_ptr_array_unref(map[i]);
 	g_free(map);
@@ -151,16 +152,17 @@
 	return covered;
 }
 
-/** What the replicas of one group have told of a version. */
+/** What the replicas of one group report about versions. */
 typedef struct group_versions_t {
-	bool has_versions;    /* of some version */
-	bool holds_candidate; /* this one */
+	bool has_versions;    /* hold any version */
+	bool holds_candidate; /* hold the version in question */
 } group_versions_t;
 
 /*
- * A searcher alone with a version may say that the whole index is the part it holds. Believing it
- * would give its part as a whole answer. A map that is whole without a group which holds other
- * versions contradicts the configuration, so such a version is not used until that group holds it.
+ * A searcher that is the only holder of a version may report that the whole index consists of the
+ * partitions it holds; its part of the answer would then pass for a complete one. If the map is
+ * complete without a group that holds other versions, the report contradicts the configuration, so
+ * the version is not used until that group holds it.
  */
 static bool is_consistent(const GPtrArray *upstreams, const candidate_t *candidate)
 {
