--- a/src/core/reply.c
+++ b/src/core/reply.c
@@ -36,7 +36,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Rising and without doubles: a partition named twice must not count twice. */
+/* Sorts the list, and rejects duplicates since a partition listed twice must not count twice. */
 static bool parse_partitions(const json_t *list, GArray *out)
 {
 	size_t i;
@@ -143,7 +143,10 @@
 		return REPLY_ANSWER;
 	if (status == 409 && error && g_str_equal(error, "version-not-held"))
 		return REPLY_VERSION_NOT_HELD;
-	/* Only the searcher's own word makes a 503 "not run": a 503 alone proves nothing. */
+	/*
+	 * A 503 means "not run" only if the searcher says so in the body; the status proves
+	 * nothing.
+	 */
 	if (status == 503 && ran && g_str_equal(ran, "no"))
 		return REPLY_SHED;
 	return REPLY_INVALID;
