--- a/src/core/upstream.c
+++ b/src/core/upstream.c
@@ -1,24 +1,34 @@
 /**
  * @file upstream.c
- * See upstream.h. docs/decisions/0003-limits.md gives the figures behind the constants.
+ * See upstream.h. docs/decisions/0003-limits.md has the measurements behind the constants.
  */
 #include "core/upstream.h"
 
 #include <math.h>
 
-/* Below 1: six VMs that each keep one request at every searcher already fill its slots thrice. */
+/*
+ * Below 1, since six VMs with one request each at a searcher already fill its slots three times
+ * over.
+ */
 #define LIMIT_MIN 0.34
 #define LIMIT_INITIAL 2.0
 #define LIMIT_DECREASE_FACTOR 0.8
 #define LIMIT_INCREASE 0.2
-/* Above this multiple of the idle latency, requests are queueing at the searcher. */
+/* A median above this multiple of the idle latency means that requests queue at the searcher. */
 #define QUEUEING_RATIO 2.0
 #define LATENCY_EMA_WEIGHT 0.15
 #define MEDIAN_STEP 0.05
-/* Under lasting load the queue must not come to look like the idle latency within seconds. */
+/*
+ * Time constant of the floor's rise. Under lasting load the queueing delay must not become the idle
+ * latency within seconds.
+ */
 #define FLOOR_TIME_CONSTANT_US 120e6
-/* Knowledge of a slow replica fades, or it would never be tried again after it has recovered. */
+/*
+ * A latency above the typical one counts less with age; otherwise a slow replica would never be
+ * tried again after it has recovered.
+ */
 #define LATENCY_TIME_CONSTANT_US 5e6
+/* Cost factor of a replica in another data centre. */
 #define REMOTE_COST 1.15
 #define FAILURES_TO_DOWN 3
 
@@ -141,22 +151,22 @@
 bool upstream_apply_report(upstream_t *upstream, const upstream_report_t *report)
 {
 	bool usable = upstream_usable(upstream);
-	bool restarted = upstream->state == UPSTREAM_DOWN;
+	bool was_down = upstream->state == UPSTREAM_DOWN;
 	bool versions_changed =
 		report->has_versions && !same_versions(upstream->held, report->held);
 
 	/*
-	 * A health page may lag behind the answer that said "leaving", and a frozen searcher that
-	 * comes back is leaving still: believing "ready" would send new work to one that is going.
-	 * So "leaving" stands until its process has been seen to end, by connections that were
-	 * refused.
+	 * A health page may lag behind the reply that reported "leaving", and a leaving searcher
+	 * that was frozen and resumes is still leaving. Accepting "ready" would send new work to a
+	 * searcher that is about to stop. Therefore "leaving" is kept until refused connections
+	 * have shown that the process has ended.
 	 */
 	if (report->state == UPSTREAM_LEAVING)
 		upstream->leaving_reported = true;
 	else if (upstream->refusals >= FAILURES_TO_DOWN)
 		upstream->leaving_reported = false;
 	upstream->refusals = 0;
-	if ((restarted || upstream->state == UPSTREAM_UNKNOWN) || report->state == UPSTREAM_COLD)
+	if ((was_down || upstream->state == UPSTREAM_UNKNOWN) || report->state == UPSTREAM_COLD)
 		upstream->limit = MIN(upstream->limit, LIMIT_INITIAL);
 	upstream->state = report->state;
 	upstream->failures = 0;
@@ -203,7 +213,7 @@
 
 static void decrease_limit(upstream_t *upstream, uint64_t now_us)
 {
-	/* One burst of losses is one piece of news: cut once per round trip. */
+	/* A burst of losses counts as one sign of overload: decrease once per round trip. */
 	if (now_us - upstream->limit_decreased_us < (uint64_t)upstream->latency_us)
 		return;
 	upstream->limit_decreased_us = now_us;
@@ -215,8 +225,8 @@
 	upstream->answered++;
 	update_latency(upstream, now_us, (double)latency_us);
 	/*
-	 * The median and not the mean: one answer in ten that is slow for reasons of its own is not
-	 * a queue, and cutting the limit for it would leave slots idle.
+	 * The limit follows the median, not the mean: if one answer in ten is slow for a reason of
+	 * its own, there is no queue, and decreasing the limit would leave slots idle.
 	 */
 	if (upstream->median_us > QUEUEING_RATIO * upstream->floor_us)
 		decrease_limit(upstream, now_us);
