--- a/src/core/news.c
+++ b/src/core/news.c
@@ -1,10 +1,14 @@
 /**
  * @file news.c
- * What is heard of searchers, from whichever side it comes first, and the pause that makes it old.
+ * Status reports of searchers, from health pages, replies and peers, and the detection of pauses of
+ * this process, after which the reports are outdated.
  */
 #include "core/engine_private.h"
 
-/* Health probes enter the engine several times a second. */
+/*
+ * A gap this long between calls is a pause, as health probes call the engine several times a
+ * second.
+ */
 #define PAUSE_MIN_US 1500000
 
 static service_t *service_of_upstream(const engine_t *engine, const upstream_t *upstream)
@@ -17,11 +21,11 @@
 {
 	upstream_state_t before = upstream->state;
 	service_t *service = service_of_upstream(engine, upstream);
-	bool told = upstream->leaving_reported;
+	bool was_leaving = upstream->leaving_reported;
 
 	if (!upstream_apply_report(upstream, report))
 		return;
-	if (upstream->leaving_reported && !told)
+	if (upstream->leaving_reported && !was_leaving)
 		engine->ops->leaving(engine->ctx, upstream);
 	service->snapshot_stale = true;
 	if (report->has_versions)
@@ -83,9 +87,10 @@
 }
 
 /*
- * A VM that was paused wakes up with old news: a searcher that began to leave meanwhile would get
- * new work from it. Health probes enter the engine several times a second, so a longer gap is a
- * pause, and then nobody is given work before he has been heard of again.
+ * After a pause of the VM its reports are outdated: a searcher that began to leave in the meantime
+ * would get new work. Health probes call the engine several times a second, so a gap of
+ * PAUSE_MIN_US between calls is a pause. After a pause no searcher gets work until a new report of
+ * it arrives.
  */
 void engine_enter(engine_t *engine, uint64_t now_us)
 {
--- a/src/core/service.c
+++ b/src/core/service.c
@@ -1,10 +1,11 @@
 /**
  * @file service.c
- * One service at run time: its searchers through changes of configuration, its snapshot, its
- * capacity.
+ * Runtime state of a service: its searchers across changes of the configuration, its snapshot and
+ * its capacity.
  */
 #include "core/engine_private.h"
 
+/* Hedges, retries and rescues, each as a share of first attempts, and the burst of each budget. */
 #define HEDGE_SHARE 0.05
 #define HEDGE_BURST 10
 #define RETRY_SHARE 0.10
@@ -73,8 +74,7 @@
 			const upstream_config_t *item = g_ptr_array_index(group->upstreams, j);
 			upstream_t *upstream = get_upstream(service, old, item);
 
-			/* An operator who takes it back in has the last word over an old "leaving".
-			 */
+			/* An operator who takes a searcher back overrides its earlier "leaving". */
 			if (was_withdrawn(withdrawn_before, upstream) && !item->withdrawn)
 				upstream->leaving_reported = false;
 			upstream->group = i;
@@ -112,8 +112,9 @@
 }
 
 /*
- * A gather lasts as long as its slowest part, several times as long as the mean one, and holds no
- * slot for the rest of that time. Counting searches like parts would leave most slots idle.
+ * How many gathers may share one slot. A gather lasts as long as its slowest part, which takes
+ * several times as long as the mean part, and uses no slot of the other searchers for the rest of
+ * that time. Counting each gather as one slot everywhere would leave most slots idle.
  */
 static double overlap(const service_t *service)
 {
@@ -123,17 +124,20 @@
 	return mean_us > 0 ? CLAMP(service->gate.run_us / mean_us, 1.0, OVERLAP_MAX) : 1.0;
 }
 
-/* A gather needs room in every target, so the tightest one bounds it; the others add up. */
+/*
+ * A gather needs capacity in every target, so the smallest target bounds it. Requests of the other
+ * kinds need one target each, so the capacities of the targets add up.
+ */
 double service_capacity(const service_t *service)
 {
-	double least = 0, sum = 0;
+	double min = 0, sum = 0;
 
 	for (guint i = 0; service->snapshot && i < service->snapshot->targets->len; i++) {
 		double capacity = target_capacity(g_ptr_array_index(service->snapshot->targets, i));
 
 		sum += capacity;
-		if (i == 0 || capacity < least)
-			least = capacity;
+		if (i == 0 || capacity < min)
+			min = capacity;
 	}
-	return service->kind == SERVICE_GATHER ? least * overlap(service) : sum;
+	return service->kind == SERVICE_GATHER ? min * overlap(service) : sum;
 }
