--- a/src/core/err.h
+++ b/src/core/err.h
@@ -1,6 +1,7 @@
 /**
  * @file err.h
- * The error struct that is passed down: a code a program can test and a text for a person.
+ * Error details that a function returns through a parameter: a code for programs, a text for
+ * people.
  */
 #ifndef DS_ERR_H
 #define DS_ERR_H
@@ -10,9 +11,9 @@
 
 typedef enum err_code_t {
 	ERR_NONE,
-	ERR_SYNTAX,   /**< not JSON or not INI at all */
-	ERR_VALUE,    /**< a wrong key, type, range or name */
-	ERR_CONFLICT, /**< what the change rests on has moved */
+	ERR_SYNTAX,   /**< not valid JSON or INI */
+	ERR_VALUE,    /**< an invalid key, type, value or name */
+	ERR_CONFLICT, /**< the state that the change is based on has changed */
 	ERR_IO,
 } err_code_t;
 
--- a/src/core/outcome.c
+++ b/src/core/outcome.c
@@ -1,6 +1,6 @@
 /**
  * @file outcome.c
- * See outcome.h. docs/API.md prints this table; a test keeps the two the same.
+ * See outcome.h. docs/API.md lists this table; pages_test checks that the two agree.
  */
 #include "core/outcome.h"
 
--- a/src/core/outcome.h
+++ b/src/core/outcome.h
@@ -1,18 +1,18 @@
 /**
  * @file outcome.h
- * What may be said about a request that got no answer: the one place that lists every refusal.
+ * The refusals: every reason why a request gets no answer, as it is reported to the caller.
  */
 #ifndef DS_OUTCOME_H
 #define DS_OUTCOME_H
 
 #include <stdbool.h>
 
-/** Whether the request's effect took place. Unknown is never retried by us. */
+/** Whether the request was executed. RAN_UNKNOWN is never retried by this VM. */
 typedef enum ran_t { RAN_NO, RAN_YES, RAN_UNKNOWN } ran_t;
 
 const char *ran_name(ran_t ran);
 
-/** Why a request was refused or failed. The order is that of refusal_classes. */
+/** Why a request was refused or failed. Indexes refusal_classes. */
 typedef enum refusal_t {
 	REFUSAL_NONE,
 	REFUSAL_BAD_REQUEST,
@@ -38,14 +38,14 @@
 	REFUSAL_COUNT,
 } refusal_t;
 
-/** One kind of refusal as callers see it. */
+/** One kind of refusal as reported to callers. */
 typedef struct refusal_class_t {
 	const char *type; /**< stable; the `type` of the problem document */
 	const char *title;
 	int status; /**< HTTP status */
 	ran_t ran;
-	bool retryable;		/**< whether trying again later can help */
-	const char *ran_reason; /**< why `ran` is true */
+	bool retryable;		/**< whether a later retry can help */
+	const char *ran_reason; /**< why the value of `ran` holds */
 } refusal_class_t;
 
 const refusal_class_t *refusal_class(refusal_t refusal);
