--- a/tests/script_test.c
+++ b/tests/script_test.c
@@ -1,9 +1,8 @@
 /**
  * @file script_test.c
- * Runs the scripts under tests/scripts: "> command" lines, each followed by the output that is
- * expected of it.
+ * Runs the scripts under tests/scripts: "> command" lines, each followed by its expected output.
  *
- * Lines that start with '#' tell what the caller sees, what happens in order, and why.
+ * Lines that start with '#' are comments: the faults, their effect on the caller, and the reason.
  */
 #include "world.h"
 
@@ -31,7 +30,7 @@
 	uint32_t proposal_count;
 } runner_t;
 
-/** One word of the language. */
+/** One command of the script language. */
 typedef struct command_t {
 	const char *name;
 	void (*run)(runner_t *runner, char **args);
@@ -68,7 +67,7 @@
 	world_run(runner->world, (uint64_t)number(args[0]) * 1000);
 }
 
-/* ask VM SERVICE NAME CLASS TIMEOUT_MS WHAT ; WHAT "@id" is a key issued now */
+/* ask VM SERVICE NAME CLASS TIMEOUT_MS WHAT ; WHAT "@id" is a key issued when the world starts */
 static void run_ask(runner_t *runner, char **args)
 {
 	request_class_t class;
@@ -103,7 +102,7 @@
 	}
 }
 
-/* when NAME MS ; whether it was answered within so long */
+/* within NAME MS ; whether the request was answered within MS milliseconds */
 static void run_within(runner_t *runner, char **args)
 {
 	const result_t *result = world_result(runner->world, args[0]);
@@ -231,7 +230,7 @@
 	say(runner, "%u", world_effects(runner->world, key));
 }
 
-/* propose VM OUT BY ; OUT "-" takes nothing out */
+/* propose VM OUT BY ; OUT "-" withdraws nothing */
 static void run_propose(runner_t *runner, char **args)
 {
 	proposal_slot_t *slot = &runner->proposals[runner->proposal_count++];
@@ -260,7 +259,7 @@
 	say(runner, "%u", (uint32_t)world_config_number(runner->world, number(args[0])));
 }
 
-/* work PATTERN ; whether any matching searcher got work in the last MS */
+/* work NAME MS ; whether the searcher got work in the last MS milliseconds */
 static void run_work(runner_t *runner, char **args)
 {
 	const replica_t *replica = world_replica(runner->world, args[0]);
@@ -269,7 +268,7 @@
 	say(runner, "%s", replica->last_new_work_us >= since_us ? "yes" : "no");
 }
 
-/* extra SERVICE VM ; sub-requests beyond the first ones */
+/* extra SERVICE VM ; numbers of hedges, retries and restarts */
 static void run_extra(runner_t *runner, char **args)
 {
 	const service_t *service =
@@ -312,7 +311,7 @@
 	g_error("no command %s", words[0]);
 }
 
-/* Repeats the script with the output it really gave, to compare as a whole. */
+/* Returns the script with the actual output of its commands, to compare both as a whole. */
 static char *run_script(const char *text)
 {
 	g_auto(GStrv) lines = g_strsplit(text, "\n", 0);
@@ -328,7 +327,7 @@
 	}
 	if (runner.world)
 		world_free(runner.world);
-	g_string_truncate(runner.out, runner.out->len - 1); /* the split's last, empty line */
+	g_string_truncate(runner.out, runner.out->len - 1); /* one line break too many */
 	return g_string_free(runner.out, FALSE);
 }
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -31,7 +31,7 @@
 	void *data;
 } event_t;
 
-/** A sub-request on its way. */
+/** A sub-request in progress. */
 typedef struct sub_t {
 	gint refs;
 	vm_t *vm;
@@ -50,12 +50,12 @@
 typedef struct object_t {
 	uint64_t version;
 	json_t *value;
-	json_t *before; /* what stood there until the last write */
+	json_t *before; /* the value before the last write */
 } object_t;
 
 typedef enum call_kind_t { CALL_BUCKET, CALL_PROPOSAL, CALL_WATCH } call_kind_t;
 
-/** A call on the platform on its way. */
+/** A call to the platform in progress. */
 typedef struct call_t {
 	gint refs;
 	vm_t *vm;
@@ -76,7 +76,7 @@
 	return WALL_START_MS + world->now_us / 1000;
 }
 
-static world_t *clock_world; /* timelines take no context for their clock */
+static world_t *clock_world; /* the clock function of a timeline gets no context */
 
 static uint64_t clock_wall_ms(void)
 {
@@ -281,7 +281,7 @@
 	later(world, HOP_US, event_reply, sub);
 }
 
-/* Each partition holds one record, "p<number>", so that records show what was really answered. */
+/* Each partition holds one record, "p<number>", so records show which partitions answered. */
 static void fill_answer(const world_t *world, sub_t *sub)
 {
 	const replica_t *replica = sub->replica;
@@ -363,7 +363,9 @@
 	later(world, *slot - world->now_us, event_served, sub);
 }
 
-/* A health page that lies hides it from those who have not asked; an answer hides it from nobody.
+/*
+ * With a false health page, a VM learns that the searcher is leaving only from a reply. So the time
+ * since it began to leave counts only while its health page is true, the time since a reply always.
  */
 static void check_leaving(world_t *world, const sub_t *sub)
 {
@@ -389,7 +391,7 @@
 		return;
 	}
 	if (sub->cancelled || replica->frozen || (replica->silent && !sub->fresh)) {
-		sub_unref(sub); /* swallowed */
+		sub_unref(sub); /* lost without a reply */
 		return;
 	}
 	replica->last_new_work_us = world->now_us;
@@ -441,11 +443,11 @@
 	if (!sub)
 		return;
 	sub->cancelled = true;
-	/* The reply may be on its way all the same: it must be dropped by its id. */
+	/* The reply may still arrive: the engine must drop it by its attempt id. */
 	g_hash_table_remove(vm->world->subs, sub_key(vm, attempt->id));
 }
 
-/* ---- answers, checked as they come ---- */
+/* ---- answers and their checks ---- */
 
 result_t *world_result(const world_t *world, const char *name)
 {
@@ -623,7 +625,7 @@
 
 	if (!is_gone(vm, call->incarnation) && !call->done && vm->frozen) {
 		later(world, 10000, (event_f)call_end,
-		      call); /* read from its socket once it wakes */
+		      call); /* read from its socket once the VM resumes */
 		return;
 	}
 	if (!is_gone(vm, call->incarnation) && !call->done) {
@@ -735,7 +737,7 @@
 	call = g_memdup2(from, sizeof(*from));
 	call->vm = vm;
 	call->incarnation = vm->incarnation;
-	call->refs = 2; /* its arrival, and its time-out */
+	call->refs = 2; /* one for its arrival, one for its time-out */
 	json_incref(call->value);
 	later(world, PLATFORM_HOP_US, event_call_arrive, call);
 	later(world, PLATFORM_TIMEOUT_US, event_call_timeout, call);
@@ -885,7 +887,7 @@
 			result->lost = true;
 		result->query = NULL;
 	}
-	/* What a killed process held is simply gone: its engine never runs again. */
+	/* A killed process loses its state: its engine never runs again. */
 	vm->dead = true;
 	adoption_clear(&vm->adoption);
 	g_queue_clear_full(&vm->inbox, sub_unref);
@@ -915,7 +917,7 @@
 
 	vm->frozen = false;
 	vm->thawed_us = world->now_us;
-	/* Timers that are long due and replies in the socket come in either order. */
+	/* Overdue timers and replies in the socket may be processed in either order. */
 	if (g_rand_boolean(world->rand))
 		vm_run(vm);
 	while ((sub = g_queue_pop_head(&vm->inbox)))
@@ -942,7 +944,7 @@
 	return adoption_number(&world->vms[vm].adoption);
 }
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
 void world_key(const world_t *world, char key[64], const char *id)
 {
@@ -1166,7 +1168,7 @@
 	g_free(world);
 }
 
-/* A refusal as not run is true of its own attempt: the key may have run for another holder. */
+/* "Not run" refers to the request's own attempt: the key may have run for another request. */
 static bool another_ran(const world_t *world, const result_t *result)
 {
 	for (guint i = 0; i < world->results->len; i++) {
@@ -1202,7 +1204,9 @@
 	}
 }
 
-/* A killed VM's memory is dropped with the VM, as the kernel would; that is not a leak to report.
+/*
+ * The memory of a killed VM is never freed, as the kernel would free that of a killed process; it
+ * must not be reported as a leak.
  */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
