--- a/tests/matrix_page.h
+++ b/tests/matrix_page.h
@@ -1,6 +1,6 @@
 /**
  * @file matrix_page.h
- * The page that a fault matrix writes, or compares with the one in docs/.
+ * Writes the page of a fault matrix, or compares it with the one in docs/.
  */
 #ifndef DS_MATRIX_PAGE_H
 #define DS_MATRIX_PAGE_H
@@ -9,7 +9,10 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/** With "write" as first argument write @p page to @p path; else tell whether it stands there. */
+/**
+ * With "write" as first argument writes @p page to @p path; otherwise returns whether the file
+ * there equals @p page.
+ */
 static inline bool matrix_page_matches(const char *path, const GString *page, int argc, char **argv)
 {
 	g_autofree char *known = NULL;
--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -1,10 +1,11 @@
 /**
  * @file matrix_test.c
- * The fault matrix: every fault of the brief at every step of a search, a look-up, an action and a
+ * The fault matrix: every specified fault at every step of a search, a look-up, an action and a
  * change of configuration, and every pair of faults. Writes docs/FAULTS.md or compares it.
  *
- * What a caller must see holds in every cell (world.h checks it as answers come); besides, a search
- * or look-up must come whole wherever each group keeps one working searcher and its VM lives.
+ * The guarantees to callers hold in every cell (world.h checks each answer). In addition, a search
+ * or look-up must be answered completely if each group keeps a working searcher and the VM keeps
+ * running.
  */
 #include "matrix_page.h"
 #include "world.h"
@@ -20,15 +21,14 @@
 
 typedef struct scene_t scene_t;
 
-/** One fault of the brief. */
+/** One specified fault. */
 typedef struct fault_t {
 	const char *name;
 	void (*inject)(scene_t *scene);
-	bool expects_complete_answer; /**< a search or look-up must still come whole */
+	bool expects_complete_answer; /**< a search or look-up must still be answered completely */
 } fault_t;
 
-/** One step at which it comes: the given occurrence of what the VM does, or so long after asking.
- */
+/** When a fault is injected: at an event of the VM, or a time after the request. */
 typedef struct step_t {
 	const char *name;
 	const char *event; /**< "send", "read", "write", "claimed"; NULL for `after_us` */
@@ -36,7 +36,7 @@
 	uint64_t after_us;
 } step_t;
 
-/** What is under way when it comes. */
+/** The operation that runs when a fault is injected. */
 typedef struct kind_t {
 	const char *name;
 	const char *service; /**< NULL: a change of configuration */
@@ -93,7 +93,7 @@
 	each_first(scene, make_dead);
 }
 
-/* A new version has one partition more a group; it takes the place of the oldest one. */
+/* A new version with one more partition per group replaces the oldest one. */
 static void repartition(scene_t *scene)
 {
 	for (guint i = 0; i < scene->world->replicas->len; i++) {
@@ -157,7 +157,7 @@
 	for (guint i = 0; i < scene->world->replicas->len; i++) {
 		replica_t *replica = g_ptr_array_index(scene->world->replicas, i);
 
-		/* The VM asked stands in Zagreb; packets to Osijek vanish. */
+		/* The VM that gets the request is in Zagreb; packets to Osijek are lost. */
 		if (g_str_equal(replica->data_centre, "osijek"))
 			replica->frozen = true;
 	}
@@ -231,7 +231,9 @@
 static void inject(scene_t *scene, const fault_t *fault)
 {
 	fault->inject(scene);
-	/* A VM frozen for a moment, and one paused past every lease and deadline, differ in length.
+	/*
+	 * The two faults that freeze the VM differ only in length: for a moment, or past every
+	 * lease and deadline.
 	 */
 	if (fault->inject == vm_frozen)
 		world_run(scene->world, 0);
@@ -304,7 +306,7 @@
 	world_t *world = scene->world;
 	bool frozen_briefly;
 
-	/* Warm: latencies are known, connections are open, the claims' bucket has been read. */
+	/* Warm up: latencies are measured, connections open, the claims' bucket read. */
 	for (int i = 0; i < 5; i++) {
 		char name[16];
 
@@ -319,7 +321,7 @@
 		inject(scene, scene->fault);
 	}
 	if (world->vms[0].dead || world->vms[0].frozen)
-		goto settle; /* nobody is there to ask */
+		goto settle; /* no VM takes the request */
 	start(scene, kind);
 	run_until_fault(scene, scene->fault, scene->step, &scene->injected);
 	if (scene->second)
@@ -333,8 +335,7 @@
 	world_check_end(world);
 }
 
-/* An operator who was told "accepted" or "conflict" was told the truth, and every VM has one
- * number. */
+/* Checks the operators' answers, and that every VM has the same configuration number. */
 static void check_change(scene_t *scene, GString *out)
 {
 	world_t *world = scene->world;
@@ -381,7 +382,7 @@
 	return !result || result->lost || (result->refusal == REFUSAL_NONE && result->missing == 0);
 }
 
-/* Runs one cell; true when every promise held. */
+/* Runs one cell; returns true if every guarantee held. */
 static bool run_cell(const kind_t *kind, const fault_t *fault, const step_t *step,
 		     const fault_t *second, const step_t *second_step, GString *out)
 {
--- a/tests/pages_test.c
+++ b/tests/pages_test.c
@@ -1,6 +1,6 @@
 /**
  * @file pages_test.c
- * docs/API.md prints the table of refusals; here the two are kept the same.
+ * Checks that the table in docs/API.md agrees with the refusals in outcome.c.
  */
 #include "core/outcome.h"
 
--- a/tests/random_test.c
+++ b/tests/random_test.c
@@ -1,10 +1,10 @@
 /**
  * @file random_test.c
- * Seeded random schedules: requests of every kind while faults come and go, alone and together.
+ * Seeded random schedules: requests of every kind while faults begin and end, alone and combined.
  *
- * What a caller must see holds whatever happens: one answer, of one snapshot, with true coverage;
- * an action at most once; "not run" only when it did not. A seed that breaks one is printed with
- * what it broke, and becomes a script under tests/scripts.
+ * Under all faults each request gets one answer, of one snapshot, with the true coverage; an action
+ * runs at most once, and is answered "not run" only if it did not run. A seed that violates this is
+ * printed with the violation, and becomes a script under tests/scripts.
  */
 #include "world.h"
 
@@ -73,8 +73,7 @@
 	replica->drop_reply = !replica->drop_reply;
 }
 
-/* A new version comes to this replica, and the oldest goes: versions change under running queries.
- */
+/* A new version replaces the replica's oldest one, so versions change while queries run. */
 static void next_version(world_t *world, replica_t *replica)
 {
 	uint64_t newest = MAX(replica->versions[0], replica->versions[1]);
@@ -83,7 +82,7 @@
 	replica->versions[newest == replica->versions[0]] = newest + 1;
 }
 
-/* From version 4 on every group has one partition more. */
+/* From version 4 on every group has one more partition. */
 static void repartition(world_t *world, replica_t *replica)
 {
 	(void)replica;
@@ -97,14 +96,14 @@
 		world_leave(world, replica);
 }
 
-/* Its health page goes on saying "ready". */
+/* The searcher leaves while its health page keeps reporting "ready". */
 static void leave_with_false_health(world_t *world, replica_t *replica)
 {
 	start_leaving(world, replica);
 	replica->lie_ready = true;
 }
 
-/* It says that the index has fewer partitions than it has. */
+/* The searcher reports fewer partitions of the index than there are. */
 static void flip_claim_fewer(world_t *world, replica_t *replica)
 {
 	(void)world;
@@ -201,7 +200,7 @@
 	    !engine_service(world->vms[vm].engine, service))
 		return;
 	snprintf(name, sizeof(name), "q%u", step);
-	/* Few ids and keys, so that callers repeat them through several VMs. */
+	/* Few ids and keys, so that requests repeat them through several VMs. */
 	snprintf(id, sizeof(id), "id%d", g_rand_int_range(world->rand, 0, 8));
 	if (g_str_equal(service, "mail")) {
 		snprintf(key, sizeof(key), "%" G_GUINT64_FORMAT "-%s",
@@ -237,7 +236,7 @@
 {
 	world_t *world =
 		world_new("board=gather:3x3x2 profile=lookup:1x4x4 mail=once:1x3x1", 3, seed);
-	/* A quiet run now and then shows that the checks pass without faults, too. */
+	/* Runs with a low fault rate show that the checks pass without faults, too. */
 	double fault_rate = g_rand_double_range(world->rand, 0, 0.25);
 	bool good;
 
