--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -26,11 +26,11 @@
 
 /* ---- replica choice ---- */
 
-typedef struct choice_t {
+typedef struct replica_choice_t {
 	upstream_t *list[64];
 	double cost[64];
 	uint32_t count;
-} choice_t;
+} replica_choice_t;
 
 static bool contains(const GPtrArray *list, const void *item)
 {
@@ -41,7 +41,7 @@
 }
 
 static void list_candidates(const engine_t *engine, const part_t *part, uint64_t now_us,
-			    choice_t *choice)
+			    replica_choice_t *choice)
 {
 	const service_t *service = engine_service_of(part->query);
 	double typical_us = (double)histogram_quantile_us(&service->attempt_latency, 0.5);
@@ -94,7 +94,8 @@
 }
 
 /* Of two random replicas with capacity, the cheaper one. */
-static upstream_t *choose_replica(engine_t *engine, const part_t *part, const choice_t *choice)
+static upstream_t *choose_replica(engine_t *engine, const part_t *part,
+				  const replica_choice_t *choice)
 {
 	uint32_t open[64], count = 0, first, second;
 
@@ -313,7 +314,7 @@
 {
 	attempt_t *attempt;
 	upstream_t *upstream;
-	choice_t choice;
+	replica_choice_t choice;
 
 	list_candidates(engine, part, now_us, &choice);
 	if (choice.count == 0) {
@@ -339,7 +340,7 @@
 
 static bool any_replica_has_capacity(const engine_t *engine, const part_t *part, uint64_t now_us)
 {
-	choice_t choice;
+	replica_choice_t choice;
 
 	if (!group_has_capacity(engine, part))
 		return false;
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -362,7 +362,7 @@
 	return MAX(now_us, request->deadline_us > run_us ? request->deadline_us - run_us : 0);
 }
 
-static void offer(engine_t *engine, query_t *query, uint64_t now_us)
+static void admit_or_queue(engine_t *engine, query_t *query, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 	gate_entry_t *entry = &query->gate_entry, *displaced;
@@ -414,7 +414,7 @@
 	if (!service->snapshot)
 		query_finish(engine, query, REFUSAL_NO_UPSTREAM, now_us);
 	else
-		offer(engine, query, now_us);
+		admit_or_queue(engine, query, now_us);
 	return query;
 }
 
--- a/src/core/reply.c
+++ b/src/core/reply.c
@@ -134,7 +134,7 @@
 	return parse_partitions(json_object_get(body, "partitions"), reply->partitions);
 }
 
-static reply_kind_t kind_of(int status, const json_t *body, reply_t *reply)
+static reply_kind_t classify_reply(int status, const json_t *body, reply_t *reply)
 {
 	const char *error = json_string_value(json_object_get(body, "error"));
 	const char *ran = json_string_value(json_object_get(body, "ran"));
@@ -158,7 +158,7 @@
 	json_t *parsed = json_loadb(body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
 
 	if (json_is_object(parsed)) {
-		reply->kind = kind_of(status, parsed, reply);
+		reply->kind = classify_reply(status, parsed, reply);
 		reply->report = parse_report(parsed);
 	}
 	json_decref(parsed);
--- a/src/core/service.c
+++ b/src/core/service.c
@@ -12,7 +12,7 @@
 #define RETRY_BURST 32
 #define RESCUE_SHARE 0.05
 #define RESCUE_BURST 128
-#define OVERLAP_MAX 4.0
+#define GATHERS_PER_SLOT_MAX 4.0
 
 service_t *service_new(const char *name)
 {
@@ -116,12 +116,12 @@
  * several times as long as the mean part, and uses no slot of the other searchers for the rest of
  * that time. Counting each gather as one slot everywhere would leave most slots idle.
  */
-static double overlap(const service_t *service)
+static double gathers_per_slot(const service_t *service)
 {
 	const histogram_t *attempts = &service->attempt_latency;
 	double mean_us = attempts->count ? (double)attempts->sum_us / (double)attempts->count : 0;
 
-	return mean_us > 0 ? CLAMP(service->gate.run_us / mean_us, 1.0, OVERLAP_MAX) : 1.0;
+	return mean_us > 0 ? CLAMP(service->gate.run_us / mean_us, 1.0, GATHERS_PER_SLOT_MAX) : 1.0;
 }
 
 /*
@@ -139,5 +139,5 @@
 		if (i == 0 || capacity < min)
 			min = capacity;
 	}
-	return service->kind == SERVICE_GATHER ? min * overlap(service) : sum;
+	return service->kind == SERVICE_GATHER ? min * gathers_per_slot(service) : sum;
 }
--- a/src/core/snapshot.c
+++ b/src/core/snapshot.c
@@ -238,7 +238,7 @@
 	g_array_append_val(target->partitions, partition);
 }
 
-static snapshot_t *build(const GPtrArray *upstreams, const candidate_t *candidate)
+static snapshot_t *build_snapshot(const GPtrArray *upstreams, const candidate_t *candidate)
 {
 	snapshot_t *snapshot = g_new0(snapshot_t, 1);
 	GPtrArray **map = map_replicas(upstreams, candidate);
@@ -268,5 +268,5 @@
 		    (!best.partition_count || is_better(&candidate, &best)))
 			best = candidate;
 	}
-	return best.partition_count ? build(upstreams, &best) : NULL;
+	return best.partition_count ? build_snapshot(upstreams, &best) : NULL;
 }
--- a/tests/random_test.c
+++ b/tests/random_test.c
@@ -187,7 +187,7 @@
 	faults[which](world, g_ptr_array_index(world->replicas, index));
 }
 
-static void ask_something(world_t *world, uint32_t step)
+static void submit_random_request(world_t *world, uint32_t step)
 {
 	static const char *const services[] = {"board", "profile", "mail"};
 	uint32_t vm = (uint32_t)g_rand_int_range(world->rand, 0, (gint32)world->vm_count);
@@ -243,8 +243,8 @@
 	for (uint32_t step = 0; step < STEPS; step++) {
 		if (g_rand_double(world->rand) < fault_rate)
 			inject(world);
-		ask_something(world, step);
-		ask_something(world, step + 1000);
+		submit_random_request(world, step);
+		submit_random_request(world, step + 1000);
 		world_run(world, (uint64_t)g_rand_int_range(world->rand, 0, 2 * STEP_US));
 	}
 	heal(world);
--- a/tests/world.c
+++ b/tests/world.c
@@ -106,7 +106,7 @@
 	g_free(event);
 }
 
-static void later(world_t *world, uint64_t delay_us, event_f run, void *data)
+static void schedule(world_t *world, uint64_t delay_us, event_f run, void *data)
 {
 	event_t *event = g_new0(event_t, 1);
 
@@ -278,7 +278,7 @@
 	sub->reply = reply_new(kind);
 	if (kind != REPLY_NOT_SENT && kind != REPLY_CONNECTION_LOST)
 		sub->reply->report = report_of(sub->replica, kind == REPLY_VERSION_NOT_HELD);
-	later(world, HOP_US, event_reply, sub);
+	schedule(world, HOP_US, event_reply, sub);
 }
 
 /* Each partition holds one record, "p<number>", so records show which partitions answered. */
@@ -360,7 +360,7 @@
 		g_hash_table_insert(replica->effects, g_strdup(sub->key),
 				    GUINT_TO_POINTER(times + 1));
 	}
-	later(world, *slot - world->now_us, event_served, sub);
+	schedule(world, *slot - world->now_us, event_served, sub);
 }
 
 /*
@@ -429,8 +429,9 @@
 	sub->expires_us = query->request->deadline_us;
 	sub->sent_us = world->now_us;
 	g_hash_table_insert(world->subs, sub_key(vm, attempt->id), sub_ref(sub));
-	later(world, g_str_equal(sub->replica->data_centre, vm->data_centre) ? HOP_US : FAR_HOP_US,
-	      event_arrive, sub);
+	schedule(world,
+		 g_str_equal(sub->replica->data_centre, vm->data_centre) ? HOP_US : FAR_HOP_US,
+		 event_arrive, sub);
 	if (world->on_step)
 		world->on_step(world->ctx, vm, "send");
 }
@@ -624,8 +625,8 @@
 	vm_t *vm = call->vm;
 
 	if (!is_gone(vm, call->incarnation) && !call->done && vm->frozen) {
-		later(world, 10000, (event_f)call_end,
-		      call); /* read from its socket once the VM resumes */
+		schedule(world, 10000, (event_f)call_end,
+			 call); /* read from its socket once the VM resumes */
 		return;
 	}
 	if (!is_gone(vm, call->incarnation) && !call->done) {
@@ -712,7 +713,7 @@
 	}
 	if (call->write && world->late_writes) {
 		world->late_writes--;
-		later(world, LATE_WRITE_US, event_late_write, call);
+		schedule(world, LATE_WRITE_US, event_late_write, call);
 		return;
 	}
 	if (call->write)
@@ -724,7 +725,7 @@
 		call_unref(call);
 		return;
 	}
-	later(world, PLATFORM_HOP_US + world->platform_slow_us, event_call_reply, call);
+	schedule(world, PLATFORM_HOP_US + world->platform_slow_us, event_call_reply, call);
 }
 
 static void platform_call(vm_t *vm, const call_t *from)
@@ -739,8 +740,8 @@
 	call->incarnation = vm->incarnation;
 	call->refs = 2; /* one for its arrival, one for its time-out */
 	json_incref(call->value);
-	later(world, PLATFORM_HOP_US, event_call_arrive, call);
-	later(world, PLATFORM_TIMEOUT_US, event_call_timeout, call);
+	schedule(world, PLATFORM_HOP_US, event_call_arrive, call);
+	schedule(world, PLATFORM_TIMEOUT_US, event_call_timeout, call);
 	if (call->write)
 		world->writes++;
 	if (world->on_step && call->kind != CALL_WATCH)
@@ -838,7 +839,7 @@
 				     .incarnation = vm->incarnation,
 				     .replica = replica,
 				     .report = answers ? report_of(replica, true) : NULL};
-		later(world, 2 * HOP_US + world->health_lag_us, event_health_reply, health);
+		schedule(world, 2 * HOP_US + world->health_lag_us, event_health_reply, health);
 	}
 }
 
@@ -848,7 +849,7 @@
 
 	if (vm->engine && !vm->dead && !vm->frozen)
 		probe_all(world, vm);
-	later(world, HEALTH_PERIOD_US, event_health, vm);
+	schedule(world, HEALTH_PERIOD_US, event_health, vm);
 }
 
 static void event_watch(world_t *world, void *data)
@@ -858,7 +859,7 @@
 
 	if (vm->engine && !vm->dead && !vm->frozen)
 		platform_call(vm, &call);
-	later(world, WATCH_PERIOD_US, event_watch, vm);
+	schedule(world, WATCH_PERIOD_US, event_watch, vm);
 }
 
 static void vm_start(world_t *world, vm_t *vm)
@@ -1144,8 +1145,8 @@
 		g_strlcpy(vm->data_centre, data_centres[i % 3], sizeof(vm->data_centre));
 		g_queue_init(&vm->inbox);
 		vm_start(world, vm);
-		later(world, 1000 * (i + 1), event_watch, vm);
-		later(world, 10000 + 1000 * (i + 1), event_health, vm);
+		schedule(world, 1000 * (i + 1), event_watch, vm);
+		schedule(world, 10000 + 1000 * (i + 1), event_health, vm);
 	}
 	world_run(world, 1000000);
 	return world;
