--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -187,9 +187,9 @@
 
 /* ---- applying an op to the known state of its bucket ---- */
 
-static void finish_claim(claims_t *claims, op_t *op, claim_end_t end)
+static void finish_claim(claims_t *claims, op_t *op, claim_result_t end)
 {
-	if (end == CLAIM_OURS) {
+	if (end == CLAIM_ACQUIRED) {
 		claims->won++;
 		g_hash_table_insert(claims->held, g_strdup(op->key), g_strdup(op->holder));
 	}
@@ -220,14 +220,14 @@
 	 * would run the action.
 	 */
 	if (entry && g_str_equal(entry->holder, op->holder)) {
-		finish_claim(claims, op, CLAIM_OURS);
+		finish_claim(claims, op, CLAIM_ACQUIRED);
 		return OP_FINISHED;
 	}
 	/* The entry may have been released since the last read. */
 	if (entry && !op->read_after_arrival)
 		return OP_NEEDS_READ;
 	if (entry) {
-		finish_claim(claims, op, entry->ran ? CLAIM_RAN : CLAIM_OTHERS);
+		finish_claim(claims, op, entry->ran ? CLAIM_RAN : CLAIM_HELD_ELSEWHERE);
 		return OP_FINISHED;
 	}
 	/*
@@ -239,7 +239,7 @@
 		return OP_FINISHED;
 	}
 	if (g_hash_table_size(bucket->entries) >= MAX_BUCKET_ENTRIES) {
-		finish_claim(claims, op, CLAIM_UNSETTLED);
+		finish_claim(claims, op, CLAIM_UNAVAILABLE);
 		return OP_FINISHED;
 	}
 	add_entry(bucket, op);
@@ -411,7 +411,8 @@
 	g_queue_init(&bucket->pending);
 	while ((op = g_queue_pop_head(&taken))) {
 		if (op->kind == OP_CLAIM) {
-			bucket->claims->ops->ended(bucket->claims->ctx, op->owner, CLAIM_UNSETTLED);
+			bucket->claims->ops->ended(bucket->claims->ctx, op->owner,
+						   CLAIM_UNAVAILABLE);
 			if (!op->written) {
 				op_free(op);
 				continue;
@@ -500,7 +501,7 @@
 	bucket->state = BUCKET_BUSY;
 	while ((op = g_queue_pop_head(&bucket->batch))) {
 		if (op->kind == OP_CLAIM)
-			finish_claim(bucket->claims, op, CLAIM_OURS);
+			finish_claim(bucket->claims, op, CLAIM_ACQUIRED);
 		else
 			op_free(op);
 	}
@@ -583,7 +584,7 @@
 	bucket = bucket_of(claims, op->key);
 	/* Waiting would not settle the claim; the probe detects the end of the outage. */
 	if (in_outage(claims)) {
-		claims->ops->ended(claims->ctx, owner, CLAIM_UNSETTLED);
+		claims->ops->ended(claims->ctx, owner, CLAIM_UNAVAILABLE);
 		op_free(op);
 		return;
 	}
--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -1,33 +1,36 @@
 /**
  * @file dispatch.c
- * Sub-requests: which replica, when to wait, when to ask a second one, when to give up.
+ * Sub-requests: choice of the replica, queueing for capacity, hedges, rescues, retries and backoff.
  *
- * docs/decisions/0002-stragglers.md weighs the ways and gives the figures.
+ * docs/decisions/0002-stragglers.md compares the alternatives and gives measurements.
  */
 #include "core/engine_private.h"
 
 #include <string.h>
 
-/* A replica this many times costlier than the best is not used while another can be. */
+/* Replicas whose cost exceeds this multiple of the lowest cost are not candidates. */
 #define OUTLIER_RATIO 4.0
 #define HEDGE_QUANTILE 0.95
-#define HEDGE_SAMPLES_LEAST 64
-#define HEDGE_START_US 20000
-#define HEDGE_LEAST_US 1000
-/* An attempt this many hedge delays old was swallowed rather than slow. */
+#define HEDGE_SAMPLES_MIN 64
+#define HEDGE_DELAY_INITIAL_US 20000
+#define HEDGE_DELAY_MIN_US 1000
+/* An attempt without an answer after this many hedge delays is taken for lost, not for slow. */
 #define RESCUE_DELAYS 5
+/* The histogram of attempt latencies fades whenever it holds this many samples. */
 #define FADE_SAMPLES 4096
+/* The backoff doubles from BACKOFF_US at most BACKOFF_DOUBLINGS times. */
 #define BACKOFF_US 3000
 #define BACKOFF_DOUBLINGS 5
+/* How much later a request of the next lower class counts as admitted, in upstream queues. */
 #define CLASS_HEAD_START_US 50000u
 
 /* ---- replica choice ---- */
 
-typedef struct choice_t {
+typedef struct replica_choice_t {
 	upstream_t *list[64];
 	double cost[64];
 	uint32_t count;
-} choice_t;
+} replica_choice_t;
 
 static bool contains(const GPtrArray *list, const void *item)
 {
@@ -38,7 +41,7 @@
 }
 
 static void list_candidates(const engine_t *engine, const part_t *part, uint64_t now_us,
-			    choice_t *choice)
+			    replica_choice_t *choice)
 {
 	const service_t *service = engine_service_of(part->query);
 	double typical_us = (double)histogram_quantile_us(&service->attempt_latency, 0.5);
@@ -51,7 +54,7 @@
 		upstream_t *upstream = g_ptr_array_index(part->replicas, i);
 
 		if (!upstream_usable(upstream) || contains(part->tried, upstream) ||
-		    contains(part->barred, upstream))
+		    contains(part->excluded, upstream))
 			continue;
 		choice->list[choice->count] = upstream;
 		choice->cost[choice->count] = upstream_cost(upstream, now_us, MAX(typical_us, 1));
@@ -71,10 +74,10 @@
 }
 
 /*
- * Limits below 1 only mean something for a group as a whole: were each searcher given one request
- * by each VM all the same, six VMs would fill its two slots three times over.
+ * Limits below 1 take effect only when summed over the replicas of a group. If every VM sent each
+ * searcher one request regardless, six VMs would fill a searcher's two slots three times over.
  */
-static bool group_has_room(const engine_t *engine, const part_t *part)
+static bool group_has_capacity(const engine_t *engine, const part_t *part)
 {
 	uint32_t outstanding = 0;
 	double limit = 0;
@@ -90,16 +93,17 @@
 	return outstanding < MAX((uint32_t)(limit + 0.5), 1);
 }
 
-/* Two at random, the cheaper of them that has room. */
-static upstream_t *choose_with_room(engine_t *engine, const part_t *part, const choice_t *choice)
+/* Of two random replicas with capacity, the cheaper one. */
+static upstream_t *choose_replica(engine_t *engine, const part_t *part,
+				  const replica_choice_t *choice)
 {
 	uint32_t open[64], count = 0, first, second;
 
-	if (!group_has_room(engine, part))
+	if (!group_has_capacity(engine, part))
 		return NULL;
 
 	for (uint32_t i = 0; i < choice->count; i++)
-		if (upstream_has_room(choice->list[i]))
+		if (upstream_has_capacity(choice->list[i]))
 			open[count++] = i;
 	if (count == 0)
 		return NULL;
@@ -163,10 +167,10 @@
 
 static uint64_t hedge_delay_us(const service_t *service)
 {
-	if (service->attempt_latency.count < HEDGE_SAMPLES_LEAST)
-		return HEDGE_START_US;
+	if (service->attempt_latency.count < HEDGE_SAMPLES_MIN)
+		return HEDGE_DELAY_INITIAL_US;
 	return MAX(histogram_quantile_us(&service->attempt_latency, HEDGE_QUANTILE),
-		   HEDGE_LEAST_US);
+		   HEDGE_DELAY_MIN_US);
 }
 
 static void on_attempt_timer(void *ctx, uint64_t now_us);
@@ -202,26 +206,26 @@
 	engine->ops->send(engine->ctx, attempt);
 }
 
-/* ---- waiting for room ---- */
+/* ---- waiting for capacity ---- */
 
 /*
- * A more urgent class goes before what was admitted shortly before it, not before everything: with
- * a strict order parts of the lower classes would wait here for as long as urgent work keeps
- * coming.
+ * An attempt of a more urgent class overtakes attempts of lower classes only if those were admitted
+ * within CLASS_HEAD_START_US before it per class of difference. With strict priority, parts of the
+ * lower classes would wait for as long as urgent requests keep arriving.
  */
-static uint64_t turn_us(const attempt_t *attempt)
+static uint64_t queue_position_us(const attempt_t *attempt)
 {
 	const query_t *query = attempt->query;
 
 	return query->admitted_us + query->request->class * CLASS_HEAD_START_US;
 }
 
-static bool goes_before(const attempt_t *a, const attempt_t *b)
+static bool is_queued_before(const attempt_t *a, const attempt_t *b)
 {
-	return turn_us(a) < turn_us(b);
+	return queue_position_us(a) < queue_position_us(b);
 }
 
-static void wait_for(attempt_t *attempt, upstream_t *upstream)
+static void enqueue_waiter(attempt_t *attempt, upstream_t *upstream)
 {
 	waiter_t *waiter = g_new0(waiter_t, 1);
 	GList *after = upstream->waiting.tail;
@@ -230,7 +234,7 @@
 	waiter->upstream = upstream_ref(upstream);
 	waiter->link.data = waiter;
 	g_ptr_array_add(attempt->waiters, waiter);
-	while (after && goes_before(attempt, ((waiter_t *)after->data)->attempt))
+	while (after && is_queued_before(attempt, ((waiter_t *)after->data)->attempt))
 		after = after->prev;
 	if (after)
 		g_queue_insert_after_link(&upstream->waiting, after, &waiter->link);
@@ -238,22 +242,24 @@
 		g_queue_push_head_link(&upstream->waiting, &waiter->link);
 }
 
-/* Room at one searcher is room for its group, too: whoever waits there waits at each of the group.
+/*
+ * Capacity at one searcher is capacity of its group, too: an attempt waits in the queue of every
+ * candidate of its group.
  */
-void dispatch_pump(engine_t *engine, upstream_t *upstream, uint64_t now_us)
+void dispatch_send_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us)
 {
 	GList *item = upstream->waiting.head;
 
-	while (item && upstream_has_room(upstream)) {
+	while (item && upstream_has_capacity(upstream)) {
 		attempt_t *attempt = ((waiter_t *)item->data)->attempt;
 
 		item = item->next;
-		if (group_has_room(engine, part_of(attempt)))
+		if (group_has_capacity(engine, part_of(attempt)))
 			attempt_send(engine, attempt, upstream, now_us);
 	}
 }
 
-void dispatch_evict(engine_t *engine, upstream_t *upstream, uint64_t now_us)
+void dispatch_reassign_waiting(engine_t *engine, upstream_t *upstream, uint64_t now_us)
 {
 	while (upstream->waiting.head) {
 		attempt_t *attempt = ((waiter_t *)upstream->waiting.head->data)->attempt;
@@ -268,7 +274,7 @@
 	}
 }
 
-/* ---- a part's course ---- */
+/* ---- parts ---- */
 
 static void on_backoff(void *ctx, uint64_t now_us)
 {
@@ -278,7 +284,10 @@
 	dispatch_part(part->query->engine, part, ATTEMPT_RETRY, now_us);
 }
 
-/* Everyone has been asked once. Those who only shed or were cut off may be asked again, later. */
+/*
+ * Every replica has been asked once. Replicas that shed the request or lost its connection may be
+ * asked again after a backoff.
+ */
 static void back_off(engine_t *engine, part_t *part, uint64_t now_us)
 {
 	double base = (double)(BACKOFF_US << MIN(part->backoffs, BACKOFF_DOUBLINGS));
@@ -290,12 +299,12 @@
 		   now_us + (uint64_t)g_rand_double_range(engine->rand, base / 2, base));
 }
 
-static bool anyone_left(const part_t *part)
+static bool any_replica_left(const part_t *part)
 {
 	for (guint i = 0; i < part->replicas->len; i++) {
 		const upstream_t *upstream = g_ptr_array_index(part->replicas, i);
 
-		if (upstream_usable(upstream) && !contains(part->barred, upstream))
+		if (upstream_usable(upstream) && !contains(part->excluded, upstream))
 			return true;
 	}
 	return false;
@@ -305,39 +314,39 @@
 {
 	attempt_t *attempt;
 	upstream_t *upstream;
-	choice_t choice;
+	replica_choice_t choice;
 
 	list_candidates(engine, part, now_us, &choice);
 	if (choice.count == 0) {
 		if (part->attempts->len || part->backoff.heap_position)
 			return;
-		if (anyone_left(part))
+		if (any_replica_left(part))
 			back_off(engine, part, now_us);
 		else
 			engine_part_lost(engine, part, now_us);
 		return;
 	}
 	attempt = attempt_new(engine, part, kind);
-	upstream = choose_with_room(engine, part, &choice);
+	upstream = choose_replica(engine, part, &choice);
 	if (upstream) {
 		attempt_send(engine, attempt, upstream, now_us);
 		return;
 	}
 	for (uint32_t i = 0; i < choice.count; i++)
-		wait_for(attempt, choice.list[i]);
+		enqueue_waiter(attempt, choice.list[i]);
 }
 
 /* ---- rescue ---- */
 
-static bool someone_has_room(const engine_t *engine, const part_t *part, uint64_t now_us)
+static bool any_replica_has_capacity(const engine_t *engine, const part_t *part, uint64_t now_us)
 {
-	choice_t choice;
+	replica_choice_t choice;
 
-	if (!group_has_room(engine, part))
+	if (!group_has_capacity(engine, part))
 		return false;
 	list_candidates(engine, part, now_us, &choice);
 	for (uint32_t i = 0; i < choice.count; i++)
-		if (upstream_has_room(choice.list[i]))
+		if (upstream_has_capacity(choice.list[i]))
 			return true;
 	return false;
 }
@@ -346,33 +355,35 @@
 {
 	service_t *service = engine_service_of(part->query);
 
-	/* Under overload a hedge takes the place of somebody's first attempt. */
+	/* Under overload a hedge would take the capacity of another query's first attempt. */
 	if (gate_waiting(&service->gate) || part->attempts->len > 1 ||
-	    !someone_has_room(engine, part, now_us) || !budget_spend(&service->hedge_budget))
+	    !any_replica_has_capacity(engine, part, now_us) ||
+	    !budget_spend(&service->hedge_budget))
 		return;
 	dispatch_part(engine, part, ATTEMPT_HEDGE, now_us);
 }
 
 /*
- * A connection that something in between has forgotten swallows requests without an error. The
- * hedge budget is too small when many connections go silent at once: parts would stay unanswered
- * until the deadline. So an attempt that is far older than a slow answer may be replaced from a
- * budget of its own, even at a replica that was tried; the new attempt uses another connection,
- * and the silent one is closed when the attempt is cancelled.
+ * If a device on the path drops the state of a connection, requests on that connection are lost
+ * without an error. When many connections fail this way at once, the hedge budget is too small and
+ * parts would stay unanswered until the deadline. Therefore an attempt that is far older than a
+ * slow answer may be replaced from a separate budget, even at a replica that was already tried.
+ * This is enough since the new attempt uses another connection, and the dead connection is closed
+ * when the old attempt is cancelled.
  */
 static void rescue(engine_t *engine, part_t *part, attempt_t *attempt, uint64_t now_us)
 {
 	service_t *service = engine_service_of(part->query);
 
-	upstream_outlasted(attempt->upstream, now_us, now_us - attempt->sent_us);
-	upstream_overloaded(attempt->upstream, now_us);
+	upstream_record_min_latency(attempt->upstream, now_us, now_us - attempt->sent_us);
+	upstream_record_overload(attempt->upstream, now_us);
 	if (!budget_spend(&service->rescue_budget))
 		return;
 	timeline_add(engine->timeline,
 		     "event=rescue request=%s service=%s upstream=%s waited_us=%" G_GUINT64_FORMAT,
 		     part->query->request->id, service->name, attempt->upstream->name,
 		     now_us - attempt->sent_us);
-	if (!someone_has_room(engine, part, now_us))
+	if (!any_replica_has_capacity(engine, part, now_us))
 		g_ptr_array_set_size(part->tried, 0);
 	dispatch_part(engine, part, ATTEMPT_RETRY, now_us);
 }
@@ -392,7 +403,7 @@
 	rescue(engine, part_of(attempt), attempt, now_us);
 }
 
-/* ---- ends ---- */
+/* ---- results of attempts ---- */
 
 static void cancel_attempt(engine_t *engine, attempt_t *attempt, uint64_t now_us)
 {
@@ -401,17 +412,20 @@
 
 	if (upstream) {
 		engine->ops->cancel(engine->ctx, attempt);
-		/* The loser took at least this long: without it a straggler would look untried. */
-		upstream_outlasted(upstream, now_us, waited_us);
+		/*
+		 * The latency is at least this long; without the sample a straggler would look
+		 * untried.
+		 */
+		upstream_record_min_latency(upstream, now_us, waited_us);
 	}
 	attempt_free(engine, attempt);
 	if (!upstream)
 		return;
-	dispatch_pump(engine, upstream, now_us);
+	dispatch_send_waiting(engine, upstream, now_us);
 	upstream_unref(upstream);
 }
 
-static void drop_waiting(engine_t *engine, const part_t *part)
+static void drop_waiting_attempts(engine_t *engine, const part_t *part)
 {
 	for (guint i = part->attempts->len; i-- > 0;) {
 		attempt_t *attempt = g_ptr_array_index(part->attempts, i);
@@ -421,9 +435,9 @@
 	}
 }
 
-static void cancel_others(engine_t *engine, part_t *part, uint64_t now_us)
+static void cancel_attempts(engine_t *engine, part_t *part, uint64_t now_us)
 {
-	drop_waiting(engine, part);
+	drop_waiting_attempts(engine, part);
 	while (part->attempts->len)
 		cancel_attempt(engine, g_ptr_array_index(part->attempts, 0), now_us);
 	timers_cancel(&engine->timers, &part->backoff);
@@ -431,19 +445,22 @@
 
 void dispatch_stop(engine_t *engine, query_t *query, uint64_t now_us)
 {
-	/* First those that wait, or a place freed below would go to another part of this query. */
+	/*
+	 * Waiting attempts go first; otherwise capacity that is freed below would be given to
+	 * another part of this query.
+	 */
 	for (guint i = 0; i < query->parts->len; i++)
-		drop_waiting(engine, g_ptr_array_index(query->parts, i));
+		drop_waiting_attempts(engine, g_ptr_array_index(query->parts, i));
 	for (guint i = 0; i < query->parts->len; i++)
-		cancel_others(engine, g_ptr_array_index(query->parts, i), now_us);
+		cancel_attempts(engine, g_ptr_array_index(query->parts, i), now_us);
 }
 
-static void take_sample(engine_t *engine, service_t *service, upstream_t *upstream,
-			const attempt_t *attempt, uint64_t now_us)
+static void record_latency(engine_t *engine, service_t *service, upstream_t *upstream,
+			   const attempt_t *attempt, uint64_t now_us)
 {
 	uint64_t latency_us = now_us - attempt->sent_us;
 
-	upstream_answered(upstream, now_us, latency_us);
+	upstream_record_answer(upstream, now_us, latency_us);
 	if (!engine->policy.adapt_limit)
 		upstream->limit = upstream->share;
 	histogram_add(&service->attempt_latency, latency_us);
@@ -459,16 +476,16 @@
 	if (kind == ATTEMPT_HEDGE)
 		engine_service_of(query)->counters.hedges_won++;
 	query_merge(query, part, reply);
-	cancel_others(engine, part, now_us);
+	cancel_attempts(engine, part, now_us);
 	if (query->request->kind == SERVICE_ONCE)
 		engine_action_ended(engine, query, REFUSAL_NONE, RAN_YES, now_us);
 	else
-		engine_check_settled(engine, query, now_us);
+		engine_check_done(engine, query, now_us);
 	query_unref(query);
 }
 
-/* The part goes on elsewhere, unless another attempt for it is still out. */
-static void ask_elsewhere(engine_t *engine, part_t *part, bool costs_budget, uint64_t now_us)
+/* Retry the part, unless another attempt for it is still waiting or sent. */
+static void retry_part(engine_t *engine, part_t *part, bool costs_budget, uint64_t now_us)
 {
 	service_t *service = engine_service_of(part->query);
 
@@ -481,41 +498,44 @@
 	dispatch_part(engine, part, ATTEMPT_RETRY, now_us);
 }
 
-/* The attempt itself says nothing of the part any more: the query went on without it. */
-static bool moved_on(const query_t *query, uint32_t restarts)
+/*
+ * Whether the query finished or restarted since, so that an attempt's failure no longer concerns
+ * it.
+ */
+static bool query_has_moved_on(const query_t *query, uint32_t restarts)
 {
 	return query->finished || query->restarts != restarts;
 }
 
-static void note_failure(engine_t *engine, const query_t *query, upstream_t *upstream,
-			 reply_kind_t kind, uint64_t now_us)
+static void record_failure(engine_t *engine, const query_t *query, upstream_t *upstream,
+			   reply_kind_t kind, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 
 	switch (kind) {
-	case REPLY_ANSWER: /* of another version or other partitions: never merged */
-	case REPLY_BAD:
+	case REPLY_ANSWER: /* for another version or other partitions: never merged */
+	case REPLY_INVALID:
 		service->counters.mismatched++;
 		timeline_add(engine->timeline,
 			     "event=reply-rejected request=%s service=%s upstream=%s",
 			     query->request->id, service->name, upstream->name);
 		break;
-	case REPLY_NOT_HELD:
+	case REPLY_VERSION_NOT_HELD:
 		break;
 	case REPLY_SHED:
 		upstream->shed++;
-		upstream_overloaded(upstream, now_us);
+		upstream_record_overload(upstream, now_us);
 		break;
 	case REPLY_NOT_SENT:
-	case REPLY_CUT:
+	case REPLY_CONNECTION_LOST:
 		upstream->cut++;
-		if (!upstream_failed(upstream, kind == REPLY_NOT_SENT))
+		if (!upstream_record_failure(upstream, kind == REPLY_NOT_SENT))
 			break;
 		service->snapshot_stale = true;
 		timeline_add(engine->timeline,
 			     "event=upstream-down service=%s upstream=%s reason=connect",
 			     service->name, upstream->name);
-		dispatch_evict(engine, upstream, now_us);
+		dispatch_reassign_waiting(engine, upstream, now_us);
 		break;
 	}
 }
@@ -523,8 +543,10 @@
 static void part_failed(engine_t *engine, part_t *part, upstream_t *upstream, reply_kind_t kind,
 			uint64_t now_us)
 {
-	bool transient = kind == REPLY_SHED || kind == REPLY_NOT_SENT || kind == REPLY_CUT;
-	bool may_have_run = kind == REPLY_CUT || kind == REPLY_BAD || kind == REPLY_ANSWER;
+	bool transient =
+		kind == REPLY_SHED || kind == REPLY_NOT_SENT || kind == REPLY_CONNECTION_LOST;
+	bool may_have_run =
+		kind == REPLY_CONNECTION_LOST || kind == REPLY_INVALID || kind == REPLY_ANSWER;
 
 	if (may_have_run && part->query->request->kind == SERVICE_ONCE) {
 		engine_action_ended(engine, part->query, REFUSAL_OUTCOME_UNKNOWN, RAN_UNKNOWN,
@@ -532,9 +554,9 @@
 		return;
 	}
 	if (!transient)
-		g_ptr_array_add(part->barred, upstream);
+		g_ptr_array_add(part->excluded, upstream);
 	if (!part->answered && !part->lost)
-		ask_elsewhere(engine, part, may_have_run, now_us);
+		retry_part(engine, part, may_have_run, now_us);
 }
 
 void engine_attempt_ended(engine_t *engine, uint64_t attempt_id, reply_t *reply, uint64_t now_us)
@@ -547,7 +569,7 @@
 
 	engine_enter(engine, now_us);
 	attempt = g_hash_table_lookup(engine->attempts, &attempt_id);
-	/* Ids are never used twice, so what is not found is late, doubled or foreign. */
+	/* Ids are never reused, so an unknown id means a late, duplicate or misrouted reply. */
 	if (!attempt || !attempt->upstream) {
 		engine->stray_replies++;
 		reply_free(reply);
@@ -559,7 +581,7 @@
 	index = attempt->part;
 	kind = attempt->kind;
 	if (reply->kind == REPLY_ANSWER)
-		take_sample(engine, engine_service_of(query), upstream, attempt, now_us);
+		record_latency(engine, engine_service_of(query), upstream, attempt, now_us);
 	attempt_free(engine, attempt);
 
 	if (reply->kind == REPLY_ANSWER &&
@@ -567,16 +589,16 @@
 		upstream->failures = 0;
 		part_answered(engine, g_ptr_array_index(query->parts, index), kind, reply, now_us);
 		if (reply->report)
-			engine_take_report(engine, upstream, reply->report, now_us);
+			engine_apply_report(engine, upstream, reply->report, now_us);
 	} else {
 		if (reply->report)
-			engine_take_report(engine, upstream, reply->report, now_us);
-		note_failure(engine, query, upstream, reply->kind, now_us);
-		if (!moved_on(query, restarts))
+			engine_apply_report(engine, upstream, reply->report, now_us);
+		record_failure(engine, query, upstream, reply->kind, now_us);
+		if (!query_has_moved_on(query, restarts))
 			part_failed(engine, g_ptr_array_index(query->parts, index), upstream,
 				    reply->kind, now_us);
 	}
-	dispatch_pump(engine, upstream, now_us);
+	dispatch_send_waiting(engine, upstream, now_us);
 	reply_free(reply);
 	query_unref(query);
 	upstream_unref(upstream);
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -1,15 +1,16 @@
 /**
  * @file engine.c
- * Requests: admission, the pinned snapshot, the one answer.
+ * Requests: admission, pinning of a snapshot, the answer.
  */
 #include "core/engine_private.h"
 
 #include <string.h>
 
-/* What is left to write the answer and let it travel. */
+/* Time reserved before the deadline to write the answer and deliver it over the network. */
 #define ANSWER_MARGIN_US 4000
-#define OUTAGE_RETURN_LEAST_US 500000
-#define OUTAGE_RETURN_MOST_US 2000000
+/* Range of the random Retry-After while no upstream or no claim is available. */
+#define OUTAGE_RETRY_MIN_US 500000
+#define OUTAGE_RETRY_MAX_US 2000000
 
 /* ---- services ---- */
 
@@ -75,13 +76,13 @@
 	return query->service;
 }
 
-static void evict_unusable(engine_t *engine, const GPtrArray *upstreams, uint64_t now_us)
+static void reassign_from_unusable(engine_t *engine, const GPtrArray *upstreams, uint64_t now_us)
 {
 	for (guint i = 0; i < upstreams->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(upstreams, i);
 
 		if (!upstream_usable(upstream))
-			dispatch_evict(engine, upstream, now_us);
+			dispatch_reassign_waiting(engine, upstream, now_us);
 	}
 }
 
@@ -89,7 +90,7 @@
 {
 	g_autoptr(GPtrArray) before =
 		g_ptr_array_new_with_free_func((GDestroyNotify)upstream_unref);
-	g_autoptr(GHashTable) outs = g_hash_table_new(NULL, NULL);
+	g_autoptr(GHashTable) withdrawn_before = g_hash_table_new(NULL, NULL);
 
 	for (guint i = 0; i < engine->services->len; i++) {
 		service_t *service = g_ptr_array_index(engine->services, i);
@@ -97,10 +98,10 @@
 		for (guint j = 0; j < service->upstreams->len; j++) {
 			upstream_t *upstream = g_ptr_array_index(service->upstreams, j);
 
-			if (upstream->out)
-				g_hash_table_add(outs, upstream);
-			/* What the new configuration does not name again gets nothing new. */
-			upstream->out = true;
+			if (upstream->withdrawn)
+				g_hash_table_add(withdrawn_before, upstream);
+			/* Upstreams that the new configuration does not name get no new work. */
+			upstream->withdrawn = true;
 			g_ptr_array_add(before, upstream_ref(upstream));
 		}
 		service->configured = false;
@@ -113,9 +114,9 @@
 			service = service_new(from->name);
 			g_ptr_array_add(engine->services, service);
 		}
-		service_configure(engine, service, config, from, outs);
+		service_configure(engine, service, config, from, withdrawn_before);
 	}
-	evict_unusable(engine, before, now_us);
+	reassign_from_unusable(engine, before, now_us);
 	timeline_add(engine->timeline, "event=config-in-force number=%" G_GUINT64_FORMAT,
 		     config->number);
 }
@@ -128,7 +129,7 @@
 
 	query->finished = true;
 	timers_cancel(&engine->timers, &query->deadline);
-	restart_forget(engine, query);
+	restart_stop_waiting(engine, query);
 	gate_withdraw(&service->gate, &query->gate_entry);
 	dispatch_stop(engine, query, now_us);
 	if (query->admitted_us)
@@ -148,7 +149,7 @@
 	if (answer->missing && answer->missing->len)
 		counters->answers_partial++;
 	else
-		counters->answers_whole++;
+		counters->answers_complete++;
 }
 
 static void admit_waiting(engine_t *engine, service_t *service, uint64_t now_us);
@@ -160,12 +161,11 @@
 
 	query_end(engine, query, now_us);
 	query_answer(query, &answer);
-	if (refusal_class(refusal)->come_back)
+	if (refusal_class(refusal)->retryable)
 		answer.retry_after_us =
 			refusal == REFUSAL_NO_UPSTREAM || refusal == REFUSAL_NO_CLAIM
-				? (uint64_t)g_rand_double_range(engine->rand,
-								OUTAGE_RETURN_LEAST_US,
-								OUTAGE_RETURN_MOST_US)
+				? (uint64_t)g_rand_double_range(engine->rand, OUTAGE_RETRY_MIN_US,
+								OUTAGE_RETRY_MAX_US)
 				: gate_retry_delay_us(&service->gate, now_us, engine->rand);
 	count_answer(service, query, &answer, now_us);
 	if (refusal != REFUSAL_NONE || answer.missing->len)
@@ -191,12 +191,12 @@
 			     now_us);
 }
 
-void engine_check_settled(engine_t *engine, query_t *query, uint64_t now_us)
+void engine_check_done(engine_t *engine, query_t *query, uint64_t now_us)
 {
-	if (query->finished || !query_is_settled(query))
+	if (query->finished || !query_is_done(query))
 		return;
-	if (!query_is_whole(query) &&
-	    (restart_try(engine, query, now_us) || restart_await(engine, query, now_us)))
+	if (!query_is_complete(query) && (restart_try(engine, query, now_us) ||
+					  restart_wait_for_versions(engine, query, now_us)))
 		return;
 	refuse_or_answer(engine, query, now_us);
 }
@@ -205,10 +205,10 @@
 {
 	uint32_t pin = query->restarts;
 
-	/* Asking may end the query, or pin it anew: then the parts listed here are gone. */
+	/* Dispatching may end the query or restart it, which frees the parts of this pin. */
 	for (guint i = 0; !query->finished && pin == query->restarts && i < query->parts->len; i++)
 		dispatch_part(engine, g_ptr_array_index(query->parts, i), ATTEMPT_FIRST, now_us);
-	engine_check_settled(engine, query, now_us);
+	engine_check_done(engine, query, now_us);
 }
 
 void engine_part_lost(engine_t *engine, part_t *part, uint64_t now_us)
@@ -219,7 +219,7 @@
 	if (query->request->kind == SERVICE_ONCE)
 		engine_action_ended(engine, query, REFUSAL_UPSTREAM_NOT_RUN, RAN_NO, now_us);
 	else if (!restart_try(engine, query, now_us))
-		engine_check_settled(engine, query, now_us);
+		engine_check_done(engine, query, now_us);
 	query_unref(query);
 }
 
@@ -233,7 +233,7 @@
 	query_finish(engine, query, refusal, now_us);
 }
 
-static bool action_is_out(const query_t *query)
+static bool action_was_sent(const query_t *query)
 {
 	for (guint i = 0; i < query->parts->len; i++) {
 		const part_t *part = g_ptr_array_index(query->parts, i);
@@ -254,16 +254,16 @@
 		query_finish(engine, query, REFUSAL_NO_TIME, now_us);
 	} else if (query->request->kind != SERVICE_ONCE) {
 		refuse_or_answer(engine, query, now_us);
-	} else if (!query->snapshot) { /* the claim is not settled; a late one is released */
+	} else if (!query->snapshot) { /* no claim result yet; a late claim is released */
 		query_finish(engine, query, REFUSAL_NO_CLAIM, now_us);
-	} else if (action_is_out(query)) {
+	} else if (action_was_sent(query)) {
 		engine_action_ended(engine, query, REFUSAL_OUTCOME_UNKNOWN, RAN_UNKNOWN, now_us);
 	} else {
 		engine_action_ended(engine, query, REFUSAL_UPSTREAM_NOT_RUN, RAN_NO, now_us);
 	}
 }
 
-static uint64_t answer_by_us(const request_t *request, uint64_t now_us)
+static uint64_t answer_deadline_us(const request_t *request, uint64_t now_us)
 {
 	uint64_t left_us = request->deadline_us > now_us ? request->deadline_us - now_us : 0;
 
@@ -275,7 +275,7 @@
 	service_t *service = engine_service_of(query);
 
 	query->admitted_us = now_us;
-	timers_set(&engine->timers, &query->deadline, answer_by_us(query->request, now_us));
+	timers_set(&engine->timers, &query->deadline, answer_deadline_us(query->request, now_us));
 	if (query->request->kind == SERVICE_ONCE) {
 		engine->ops->claim(engine->ctx, query);
 		return;
@@ -289,12 +289,12 @@
 	engine_scatter(engine, query, now_us);
 }
 
-static refusal_t refusal_of_claim(claim_end_t end)
+static refusal_t refusal_of_claim(claim_result_t end)
 {
 	switch (end) {
-	case CLAIM_OURS:
+	case CLAIM_ACQUIRED:
 		return REFUSAL_NONE;
-	case CLAIM_OTHERS:
+	case CLAIM_HELD_ELSEWHERE:
 		return REFUSAL_KEY_IN_USE;
 	case CLAIM_RAN:
 		return REFUSAL_KEY_RAN;
@@ -302,32 +302,32 @@
 		return REFUSAL_KEY_TOO_OLD;
 	case CLAIM_BAD_KEY:
 		return REFUSAL_BAD_REQUEST;
-	case CLAIM_UNSETTLED:
+	case CLAIM_UNAVAILABLE:
 		return REFUSAL_NO_CLAIM;
 	}
 	g_assert_not_reached();
 }
 
-void engine_claimed(engine_t *engine, query_t *query, claim_end_t end, uint64_t now_us)
+void engine_claimed(engine_t *engine, query_t *query, claim_result_t end, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 
 	engine_enter(engine, now_us);
 	if (query->finished) {
-		/* Answered as not run while the claim was on its way: give the key back. */
-		if (end == CLAIM_OURS)
+		/* Answered as not run while the claim was in flight: release the claim. */
+		if (end == CLAIM_ACQUIRED)
 			engine->ops->claim_outcome(engine->ctx, query, RAN_NO);
 		return;
 	}
-	if (end != CLAIM_OURS) {
+	if (end != CLAIM_ACQUIRED) {
 		query_finish(engine, query, refusal_of_claim(end), now_us);
 		return;
 	}
 	service_refresh_snapshot(service);
 	/*
-	 * A holder that was paused between claim and send comes back here long after its deadline.
-	 * The caller has been told nothing yet and must be told "not run"; sending now would make
-	 * that a lie when the caller asks again elsewhere.
+	 * If this VM was paused between claim and send, it continues here long after the deadline.
+	 * The caller has no answer yet and must be answered "not run". If the action were sent now,
+	 * that answer would be false by the time the caller retries through another VM.
 	 */
 	if (now_us >= query->deadline.at_us || !service->snapshot) {
 		engine_action_ended(engine, query,
@@ -353,15 +353,16 @@
 		start_query(engine, entry->owner, now_us);
 }
 
-/* A waiting request is refused as soon as it can't be answered in time any more. */
-static uint64_t wait_until_us(const service_t *service, const request_t *request, uint64_t now_us)
+/* The latest start that lets a waiting request be answered in time; then it is refused. */
+static uint64_t admission_deadline_us(const service_t *service, const request_t *request,
+				      uint64_t now_us)
 {
 	uint64_t run_us = (uint64_t)service->gate.run_us;
 
 	return MAX(now_us, request->deadline_us > run_us ? request->deadline_us - run_us : 0);
 }
 
-static void offer(engine_t *engine, query_t *query, uint64_t now_us)
+static void admit_or_queue(engine_t *engine, query_t *query, uint64_t now_us)
 {
 	service_t *service = engine_service_of(query);
 	gate_entry_t *entry = &query->gate_entry, *displaced;
@@ -378,7 +379,7 @@
 		break;
 	case GATE_WAIT:
 		timers_set(&engine->timers, &query->deadline,
-			   wait_until_us(service, query->request, now_us));
+			   admission_deadline_us(service, query->request, now_us));
 		break;
 	case GATE_FULL:
 		query_finish(engine, query, REFUSAL_QUEUE_FULL, now_us);
@@ -413,7 +414,7 @@
 	if (!service->snapshot)
 		query_finish(engine, query, REFUSAL_NO_UPSTREAM, now_us);
 	else
-		offer(engine, query, now_us);
+		admit_or_queue(engine, query, now_us);
 	return query;
 }
 
@@ -425,7 +426,7 @@
 		return;
 	service->counters.abandoned++;
 	query->owner = NULL;
-	/* An action that is claimed or sent goes on to its end, so that its outcome is recorded. */
+	/* A claimed or sent action runs to its end, so that its outcome is recorded. */
 	if (query->request->kind == SERVICE_ONCE && query->admitted_us)
 		return;
 	query_end(engine, query, now_us);
--- a/src/core/reply.c
+++ b/src/core/reply.c
@@ -36,7 +36,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Rising and without doubles: a partition named twice must not count twice. */
+/* Sorts the list, and rejects duplicates since a partition listed twice must not count twice. */
 static bool parse_partitions(const json_t *list, GArray *out)
 {
 	size_t i;
@@ -76,16 +76,16 @@
 	return true;
 }
 
-static bool parse_held(const json_t *item, GArray *list)
+static bool parse_index_version(const json_t *item, GArray *list)
 {
-	held_t held = {0};
+	index_version_t held = {0};
 	json_int_t version = json_integer_value(json_object_get(item, "version"));
 	json_int_t of = json_integer_value(json_object_get(item, "of"));
 
 	if (version <= 0 || of <= 0 || of > PARTITIONS_MAX)
 		return false;
 	held.version = (uint64_t)version;
-	held.of = (uint32_t)of;
+	held.partition_count = (uint32_t)of;
 	held.partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_array_append_val(list, held);
 	return parse_partitions(json_object_get(item, "partitions"), held.partitions);
@@ -103,7 +103,7 @@
 		return false;
 	report->has_versions = true;
 	json_array_foreach (versions, i, item) {
-		if (!parse_held(item, report->held))
+		if (!parse_index_version(item, report->held))
 			return false;
 	}
 	return true;
@@ -134,7 +134,7 @@
 	return parse_partitions(json_object_get(body, "partitions"), reply->partitions);
 }
 
-static reply_kind_t kind_of(int status, const json_t *body, reply_t *reply)
+static reply_kind_t classify_reply(int status, const json_t *body, reply_t *reply)
 {
 	const char *error = json_string_value(json_object_get(body, "error"));
 	const char *ran = json_string_value(json_object_get(body, "ran"));
@@ -142,20 +142,23 @@
 	if (status == 200 && parse_answer(body, reply))
 		return REPLY_ANSWER;
 	if (status == 409 && error && g_str_equal(error, "version-not-held"))
-		return REPLY_NOT_HELD;
-	/* Only the searcher's own word makes a 503 "not run": a 503 alone proves nothing. */
+		return REPLY_VERSION_NOT_HELD;
+	/*
+	 * A 503 means "not run" only if the searcher says so in the body; the status proves
+	 * nothing.
+	 */
 	if (status == 503 && ran && g_str_equal(ran, "no"))
 		return REPLY_SHED;
-	return REPLY_BAD;
+	return REPLY_INVALID;
 }
 
 reply_t *reply_parse(int status, const char *body, size_t body_bytes)
 {
-	reply_t *reply = reply_new(REPLY_BAD);
+	reply_t *reply = reply_new(REPLY_INVALID);
 	json_t *parsed = json_loadb(body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
 
 	if (json_is_object(parsed)) {
-		reply->kind = kind_of(status, parsed, reply);
+		reply->kind = classify_reply(status, parsed, reply);
 		reply->report = parse_report(parsed);
 	}
 	json_decref(parsed);
--- a/tests/random_test.c
+++ b/tests/random_test.c
@@ -1,10 +1,10 @@
 /**
  * @file random_test.c
- * Seeded random schedules: requests of every kind while faults come and go, alone and together.
+ * Seeded random schedules: requests of every kind while faults begin and end, alone and combined.
  *
- * What a caller must see holds whatever happens: one answer, of one snapshot, with true coverage;
- * an action at most once; "not run" only when it did not. A seed that breaks one is printed with
- * what it broke, and becomes a script under tests/scripts.
+ * Under all faults each request gets one answer, of one snapshot, with the true coverage; an action
+ * runs at most once, and is answered "not run" only if it did not run. A seed that violates this is
+ * printed with the violation, and becomes a script under tests/scripts.
  */
 #include "world.h"
 
@@ -73,8 +73,7 @@
 	replica->drop_reply = !replica->drop_reply;
 }
 
-/* A new version comes to this replica, and the oldest goes: versions change under running queries.
- */
+/* A new version replaces the replica's oldest one, so versions change while queries run. */
 static void next_version(world_t *world, replica_t *replica)
 {
 	uint64_t newest = MAX(replica->versions[0], replica->versions[1]);
@@ -83,7 +82,7 @@
 	replica->versions[newest == replica->versions[0]] = newest + 1;
 }
 
-/* From version 4 on every group has one partition more. */
+/* From version 4 on every group has one more partition. */
 static void repartition(world_t *world, replica_t *replica)
 {
 	(void)replica;
@@ -97,14 +96,14 @@
 		world_leave(world, replica);
 }
 
-/* Its health page goes on saying "ready". */
-static void leave_and_lie(world_t *world, replica_t *replica)
+/* The searcher leaves while its health page keeps reporting "ready". */
+static void leave_with_false_health(world_t *world, replica_t *replica)
 {
 	start_leaving(world, replica);
 	replica->lie_ready = true;
 }
 
-/* It says that the index has fewer partitions than it has. */
+/* The searcher reports fewer partitions of the index than there are. */
 static void flip_claim_fewer(world_t *world, replica_t *replica)
 {
 	(void)world;
@@ -171,7 +170,7 @@
 				 flip_drop_reply,
 				 repartition,
 				 start_leaving,
-				 leave_and_lie,
+				 leave_with_false_health,
 				 flip_claim_fewer,
 				 flip_platform,
 				 flip_platform_slow,
@@ -188,7 +187,7 @@
 	faults[which](world, g_ptr_array_index(world->replicas, index));
 }
 
-static void ask_something(world_t *world, uint32_t step)
+static void submit_random_request(world_t *world, uint32_t step)
 {
 	static const char *const services[] = {"board", "profile", "mail"};
 	uint32_t vm = (uint32_t)g_rand_int_range(world->rand, 0, (gint32)world->vm_count);
@@ -201,7 +200,7 @@
 	    !engine_service(world->vms[vm].engine, service))
 		return;
 	snprintf(name, sizeof(name), "q%u", step);
-	/* Few ids and keys, so that callers repeat them through several VMs. */
+	/* Few ids and keys, so that requests repeat them through several VMs. */
 	snprintf(id, sizeof(id), "id%d", g_rand_int_range(world->rand, 0, 8));
 	if (g_str_equal(service, "mail")) {
 		snprintf(key, sizeof(key), "%" G_GUINT64_FORMAT "-%s",
@@ -237,15 +236,15 @@
 {
 	world_t *world =
 		world_new("board=gather:3x3x2 profile=lookup:1x4x4 mail=once:1x3x1", 3, seed);
-	/* A quiet run now and then shows that the checks pass without faults, too. */
+	/* Runs with a low fault rate show that the checks pass without faults, too. */
 	double fault_rate = g_rand_double_range(world->rand, 0, 0.25);
 	bool good;
 
 	for (uint32_t step = 0; step < STEPS; step++) {
 		if (g_rand_double(world->rand) < fault_rate)
 			inject(world);
-		ask_something(world, step);
-		ask_something(world, step + 1000);
+		submit_random_request(world, step);
+		submit_random_request(world, step + 1000);
 		world_run(world, (uint64_t)g_rand_int_range(world->rand, 0, 2 * STEP_US));
 	}
 	heal(world);
--- a/tests/world.c
+++ b/tests/world.c
@@ -31,7 +31,7 @@
 	void *data;
 } event_t;
 
-/** A sub-request on its way. */
+/** A sub-request in progress. */
 typedef struct subrequest_t {
 	gint refs;
 	vm_t *vm;
@@ -50,12 +50,12 @@
 typedef struct object_t {
 	uint64_t version;
 	json_t *value;
-	json_t *before; /* what stood there until the last write */
+	json_t *before; /* the value before the last write */
 } object_t;
 
 typedef enum call_kind_t { CALL_BUCKET, CALL_PROPOSAL, CALL_WATCH } call_kind_t;
 
-/** A call on the platform on its way. */
+/** A call to the platform in progress. */
 typedef struct call_t {
 	gint refs;
 	vm_t *vm;
@@ -76,7 +76,7 @@
 	return WALL_START_MS + world->now_us / 1000;
 }
 
-static world_t *clock_world; /* timelines take no context for their clock */
+static world_t *clock_world; /* the clock function of a timeline gets no context */
 
 static uint64_t clock_wall_ms(void)
 {
@@ -106,7 +106,7 @@
 	g_free(event);
 }
 
-static void later(world_t *world, uint64_t delay_us, event_f run, void *data)
+static void schedule(world_t *world, uint64_t delay_us, event_f run, void *data)
 {
 	event_t *event = g_new0(event_t, 1);
 
@@ -201,14 +201,15 @@
 	report->state = lies ? UPSTREAM_READY : replica->state;
 	report->has_versions = health;
 	for (size_t i = 0; health && i < G_N_ELEMENTS(replica->versions); i++) {
-		held_t held = {.version = replica->versions[i]};
+		index_version_t held = {.version = replica->versions[i]};
 		uint32_t per = per_group_at(replica, held.version);
 
 		if (!held.version)
 			continue;
-		held.of = partitions_at(replica, held.version);
+		held.partition_count = partitions_at(replica, held.version);
 		if (replica->claim_fewer)
-			held.of = (replica->group + 1) * per; /* as if the rest did not exist */
+			held.partition_count =
+				(replica->group + 1) * per; /* as if the rest did not exist */
 		held.partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 		for (uint32_t j = 0; j < per; j++) {
 			uint32_t partition = replica->group * per + j;
@@ -244,7 +245,7 @@
 	return GSIZE_TO_POINTER(attempt_id * WORLD_VMS_MAX + vm->index);
 }
 
-static void give_reply(world_t *world, subrequest_t *sub)
+static void deliver_reply(world_t *world, subrequest_t *sub)
 {
 	vm_t *vm = sub->vm;
 
@@ -258,8 +259,9 @@
 	}
 	sub->ended = true;
 	if (!sub->cancelled && sub->reply->report &&
-	    sub->reply->report->state == UPSTREAM_LEAVING && !sub->replica->told_us[vm->index])
-		sub->replica->told_us[vm->index] = world->now_us;
+	    sub->reply->report->state == UPSTREAM_LEAVING &&
+	    !sub->replica->leave_reported_us[vm->index])
+		sub->replica->leave_reported_us[vm->index] = world->now_us;
 	engine_attempt_ended(vm->engine, sub->attempt_id, g_steal_pointer(&sub->reply),
 			     world->now_us);
 	g_hash_table_remove(world->subs, sub_key(vm, sub->attempt_id));
@@ -268,18 +270,18 @@
 
 static void event_reply(world_t *world, void *data)
 {
-	give_reply(world, data);
+	deliver_reply(world, data);
 }
 
 static void send_reply(world_t *world, subrequest_t *sub, reply_kind_t kind)
 {
 	sub->reply = reply_new(kind);
-	if (kind != REPLY_NOT_SENT && kind != REPLY_CUT)
-		sub->reply->report = report_of(sub->replica, kind == REPLY_NOT_HELD);
-	later(world, HOP_US, event_reply, sub);
+	if (kind != REPLY_NOT_SENT && kind != REPLY_CONNECTION_LOST)
+		sub->reply->report = report_of(sub->replica, kind == REPLY_VERSION_NOT_HELD);
+	schedule(world, HOP_US, event_reply, sub);
 }
 
-/* Each partition holds one record, "p<number>", so that records show what was really answered. */
+/* Each partition holds one record, "p<number>", so records show which partitions answered. */
 static void fill_answer(const world_t *world, subrequest_t *sub)
 {
 	const replica_t *replica = sub->replica;
@@ -313,7 +315,7 @@
 	replica_t *replica = sub->replica;
 
 	if (replica->dead) {
-		send_reply(world, sub, REPLY_CUT);
+		send_reply(world, sub, REPLY_CONNECTION_LOST);
 		return;
 	}
 	if (replica->frozen || (replica->drop_reply && sub->kind == SERVICE_ONCE)) {
@@ -358,18 +360,20 @@
 		g_hash_table_insert(replica->effects, g_strdup(sub->key),
 				    GUINT_TO_POINTER(times + 1));
 	}
-	later(world, *slot - world->now_us, event_served, sub);
+	schedule(world, *slot - world->now_us, event_served, sub);
 }
 
-/* A health page that lies hides it from those who have not asked; an answer hides it from nobody.
+/*
+ * With a false health page, a VM learns that the searcher is leaving only from a reply. So the time
+ * since it began to leave counts only while its health page is true, the time since a reply always.
  */
 static void check_leaving(world_t *world, const subrequest_t *sub)
 {
 	const replica_t *replica = sub->replica;
-	uint64_t told_us = replica->told_us[sub->vm->index];
+	uint64_t leave_reported_us = replica->leave_reported_us[sub->vm->index];
 	uint64_t since_us = replica->leaving_since_us;
 
-	if (told_us && sub->sent_us > told_us)
+	if (leave_reported_us && sub->sent_us > leave_reported_us)
 		violated(world, "%s got new work from a VM that it had told it leaves",
 			 replica->name);
 	if (since_us && !replica->lie_ready && world->now_us > since_us + LEAVING_GRACE_US)
@@ -387,13 +391,13 @@
 		return;
 	}
 	if (sub->cancelled || replica->frozen || (replica->silent && !sub->fresh)) {
-		sub_unref(sub); /* swallowed */
+		sub_unref(sub); /* lost without a reply */
 		return;
 	}
 	replica->last_new_work_us = world->now_us;
 	check_leaving(world, sub);
 	if (sub->kind != SERVICE_ONCE && !holds(replica, sub->version)) {
-		send_reply(world, sub, REPLY_NOT_HELD);
+		send_reply(world, sub, REPLY_VERSION_NOT_HELD);
 		return;
 	}
 	serve(world, sub);
@@ -425,8 +429,9 @@
 	sub->expires_us = query->request->deadline_us;
 	sub->sent_us = world->now_us;
 	g_hash_table_insert(world->subs, sub_key(vm, attempt->id), sub_ref(sub));
-	later(world, g_str_equal(sub->replica->data_centre, vm->data_centre) ? HOP_US : FAR_HOP_US,
-	      event_arrive, sub);
+	schedule(world,
+		 g_str_equal(sub->replica->data_centre, vm->data_centre) ? HOP_US : FAR_HOP_US,
+		 event_arrive, sub);
 	if (world->on_step)
 		world->on_step(world->ctx, vm, "send");
 }
@@ -439,11 +444,11 @@
 	if (!sub)
 		return;
 	sub->cancelled = true;
-	/* The reply may be on its way all the same: it must be dropped by its id. */
+	/* The reply may still arrive: the engine must drop it by its attempt id. */
 	g_hash_table_remove(vm->world->subs, sub_key(vm, attempt->id));
 }
 
-/* ---- answers, checked as they come ---- */
+/* ---- answers and their checks ---- */
 
 result_t *world_result(const world_t *world, const char *name)
 {
@@ -514,7 +519,7 @@
 	result->answered_us = world->now_us;
 	if (answer->refusal == REFUSAL_NONE && query->request->kind != SERVICE_ONCE)
 		check_records(world, result, query, answer);
-	if (answer->refusal != REFUSAL_NONE && refusal_class(answer->refusal)->come_back &&
+	if (answer->refusal != REFUSAL_NONE && refusal_class(answer->refusal)->retryable &&
 	    !answer->retry_after_us)
 		violated(world, "%s: refused without saying when to come back", result->name);
 	if (world->now_us > result->deadline_us && vm->thawed_us < result->asked_us &&
@@ -585,7 +590,7 @@
 	g_free(call);
 }
 
-static void give_result(world_t *world, call_t *call)
+static void deliver_result(world_t *world, call_t *call)
 {
 	vm_t *vm = call->vm;
 	const platform_result_t *result = &call->result;
@@ -620,13 +625,13 @@
 	vm_t *vm = call->vm;
 
 	if (!is_gone(vm, call->incarnation) && !call->done && vm->frozen) {
-		later(world, 10000, (event_f)call_end,
-		      call); /* read from its socket once it wakes */
+		schedule(world, 10000, (event_f)call_end,
+			 call); /* read from its socket once the VM resumes */
 		return;
 	}
 	if (!is_gone(vm, call->incarnation) && !call->done) {
 		call->done = true;
-		give_result(world, call);
+		deliver_result(world, call);
 	}
 	call_unref(call);
 }
@@ -708,7 +713,7 @@
 	}
 	if (call->write && world->late_writes) {
 		world->late_writes--;
-		later(world, LATE_WRITE_US, event_late_write, call);
+		schedule(world, LATE_WRITE_US, event_late_write, call);
 		return;
 	}
 	if (call->write)
@@ -720,7 +725,7 @@
 		call_unref(call);
 		return;
 	}
-	later(world, PLATFORM_HOP_US + world->platform_slow_us, event_call_reply, call);
+	schedule(world, PLATFORM_HOP_US + world->platform_slow_us, event_call_reply, call);
 }
 
 static void platform_call(vm_t *vm, const call_t *from)
@@ -733,10 +738,10 @@
 	call = g_memdup2(from, sizeof(*from));
 	call->vm = vm;
 	call->incarnation = vm->incarnation;
-	call->refs = 2; /* its arrival, and its time-out */
+	call->refs = 2; /* one for its arrival, one for its time-out */
 	json_incref(call->value);
-	later(world, PLATFORM_HOP_US, event_call_arrive, call);
-	later(world, PLATFORM_TIMEOUT_US, event_call_timeout, call);
+	schedule(world, PLATFORM_HOP_US, event_call_arrive, call);
+	schedule(world, PLATFORM_TIMEOUT_US, event_call_timeout, call);
 	if (call->write)
 		world->writes++;
 	if (world->on_step && call->kind != CALL_WATCH)
@@ -763,11 +768,11 @@
 	platform_call(ctx, &call);
 }
 
-static void do_claim_ended(void *ctx, void *owner, claim_end_t end)
+static void do_claim_ended(void *ctx, void *owner, claim_result_t end)
 {
 	vm_t *vm = ctx;
 
-	if (vm->world->on_step && end == CLAIM_OURS)
+	if (vm->world->on_step && end == CLAIM_ACQUIRED)
 		vm->world->on_step(vm->world->ctx, vm, "claimed");
 	engine_claimed(vm->engine, owner, end, vm->world->now_us);
 	query_unref(owner);
@@ -834,7 +839,7 @@
 				     .incarnation = vm->incarnation,
 				     .replica = replica,
 				     .report = answers ? report_of(replica, true) : NULL};
-		later(world, 2 * HOP_US + world->health_lag_us, event_health_reply, health);
+		schedule(world, 2 * HOP_US + world->health_lag_us, event_health_reply, health);
 	}
 }
 
@@ -844,7 +849,7 @@
 
 	if (vm->engine && !vm->dead && !vm->frozen)
 		probe_all(world, vm);
-	later(world, HEALTH_PERIOD_US, event_health, vm);
+	schedule(world, HEALTH_PERIOD_US, event_health, vm);
 }
 
 static void event_watch(world_t *world, void *data)
@@ -854,7 +859,7 @@
 
 	if (vm->engine && !vm->dead && !vm->frozen)
 		platform_call(vm, &call);
-	later(world, WATCH_PERIOD_US, event_watch, vm);
+	schedule(world, WATCH_PERIOD_US, event_watch, vm);
 }
 
 static void vm_start(world_t *world, vm_t *vm)
@@ -863,7 +868,8 @@
 
 	vm->dead = vm->frozen = false;
 	for (guint i = 0; i < world->replicas->len; i++)
-		((replica_t *)g_ptr_array_index(world->replicas, i))->told_us[vm->index] = 0;
+		((replica_t *)g_ptr_array_index(world->replicas, i))->leave_reported_us[vm->index] =
+			0;
 	vm->timeline = timeline_new(clock_wall_ms);
 	vm->engine =
 		engine_new(&engine_ops, vm, vm->timeline, g_rand_int(world->rand), vm->data_centre);
@@ -882,7 +888,7 @@
 			result->lost = true;
 		result->query = NULL;
 	}
-	/* What a killed process held is simply gone: its engine never runs again. */
+	/* A killed process loses its state: its engine never runs again. */
 	vm->dead = true;
 	adoption_clear(&vm->adoption);
 	g_queue_clear_full(&vm->inbox, sub_unref);
@@ -912,11 +918,11 @@
 
 	vm->frozen = false;
 	vm->thawed_us = world->now_us;
-	/* Timers that are long due and replies in the socket come in either order. */
+	/* Overdue timers and replies in the socket may be processed in either order. */
 	if (g_rand_boolean(world->rand))
 		vm_run(vm);
 	while ((sub = g_queue_pop_head(&vm->inbox)))
-		give_reply(world, sub);
+		deliver_reply(world, sub);
 }
 
 void world_leave(world_t *world, replica_t *replica)
@@ -931,7 +937,7 @@
 	replica->dead = replica->lie_ready = false;
 	replica->state = UPSTREAM_READY;
 	replica->leaving_since_us = 0;
-	memset(replica->told_us, 0, sizeof(replica->told_us));
+	memset(replica->leave_reported_us, 0, sizeof(replica->leave_reported_us));
 }
 
 uint64_t world_config_number(const world_t *world, uint32_t vm)
@@ -939,7 +945,7 @@
 	return adoption_number(&world->vms[vm].adoption);
 }
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
 void world_key(const world_t *world, char key[64], const char *id)
 {
@@ -1139,8 +1145,8 @@
 		g_strlcpy(vm->data_centre, data_centres[i % 3], sizeof(vm->data_centre));
 		g_queue_init(&vm->inbox);
 		vm_start(world, vm);
-		later(world, 1000 * (i + 1), event_watch, vm);
-		later(world, 10000 + 1000 * (i + 1), event_health, vm);
+		schedule(world, 1000 * (i + 1), event_watch, vm);
+		schedule(world, 10000 + 1000 * (i + 1), event_health, vm);
 	}
 	world_run(world, 1000000);
 	return world;
@@ -1163,7 +1169,7 @@
 	g_free(world);
 }
 
-/* A refusal as not run is true of its own attempt: the key may have run for another holder. */
+/* "Not run" refers to the request's own attempt: the key may have run for another request. */
 static bool another_ran(const world_t *world, const result_t *result)
 {
 	for (guint i = 0; i < world->results->len; i++) {
@@ -1199,7 +1205,9 @@
 	}
 }
 
-/* A killed VM's memory is dropped with the VM, as the kernel would; that is not a leak to report.
+/*
+ * The memory of a killed VM is never freed, as the kernel would free that of a killed process; it
+ * must not be reported as a leak.
  */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
