--- a/src/dogwoodsaddled.c
+++ b/src/dogwoodsaddled.c
@@ -284,8 +284,8 @@
 		return 1;
 	self.file_timer = (loop_timer_t){.fire = check_file, .ctx = &self};
 	check_file(&self);
-	loop_set_turn(self.loop, log_flush, NULL);
-	loop_set_woke(self.loop, on_woke, &self);
+	loop_set_iteration_end(self.loop, log_flush, NULL);
+	loop_set_resumed(self.loop, on_woke, &self);
 	loop_run(self.loop, on_signal, &self);
 	log_flush(NULL);
 	return 0;
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -10,8 +10,8 @@
 #include <string.h>
 
 /* Replies larger than any that the deployments' searchers or store send (1 MB and its framing). */
-#define REPLY_BODY_MOST_BYTES (8u << 20)
-#define REPLY_HEAD_MOST_BYTES (64u << 10)
+#define REPLY_BODY_MAX_BYTES (8u << 20)
+#define REPLY_HEAD_MAX_BYTES (64u << 10)
 /* A request sent so late in the peer's idle time could cross its close: a round trip between
  * regions and a busy turn of the loop, with room. */
 #define IDLE_MARGIN_US 700000
@@ -43,14 +43,14 @@
 		conn_free(conn);
 }
 
-static void end(http_conn_t *conn, http_conn_end_t how)
+static void end(http_conn_t *conn, http_conn_close_reason_t how)
 {
 	http_conn_close(conn);
 	conn->ops->ended(conn->ctx, how);
 }
 
 /* "timeout=5, max=100" in whole seconds. */
-static void note_idle_time(http_conn_t *conn)
+static void update_stale_time(http_conn_t *conn)
 {
 	const char *text = http_message_header(conn->reply, "Keep-Alive");
 	const char *value = text ? strstr(text, "timeout=") : NULL;
@@ -70,7 +70,7 @@
 		!more_bytes && sock_is_flushed(conn->sock) && http_message_keeps_alive(conn->reply);
 
 	conn->busy = false;
-	note_idle_time(conn);
+	update_stale_time(conn);
 	if (!reusable)
 		sock_close(conn->sock);
 	conn->ops->replied(conn->ctx, conn->reply, reusable);
@@ -93,17 +93,17 @@
 
 	conn->in_callback = true;
 	if (!conn->busy) {
-		end(conn, HTTP_CONN_GARBAGE);
+		end(conn, HTTP_CONN_PROTOCOL_ERROR);
 	} else {
 		taken = http_message_feed(conn->reply, data, bytes);
 		switch (http_message_state(conn->reply)) {
-		case HTTP_MESSAGE_MORE:
+		case HTTP_MESSAGE_INCOMPLETE:
 			break;
-		case HTTP_MESSAGE_WHOLE:
+		case HTTP_MESSAGE_COMPLETE:
 			take_reply(conn, taken < bytes);
 			break;
 		default:
-			end(conn, HTTP_CONN_GARBAGE);
+			end(conn, HTTP_CONN_PROTOCOL_ERROR);
 		}
 	}
 	conn->in_callback = false;
@@ -111,24 +111,25 @@
 		conn_free(conn);
 }
 
-static http_conn_end_t end_of(sock_end_t how)
+static http_conn_close_reason_t end_of(sock_close_reason_t how)
 {
-	static const http_conn_end_t ends[] = {[SOCK_CLOSED] = HTTP_CONN_CLOSED,
-					       [SOCK_RESET] = HTTP_CONN_RESET,
-					       [SOCK_REFUSED] = HTTP_CONN_REFUSED,
-					       [SOCK_UNREACHED] = HTTP_CONN_UNREACHED};
+	static const http_conn_close_reason_t ends[] = {[SOCK_CLOSED] = HTTP_CONN_CLOSED,
+							[SOCK_RESET] = HTTP_CONN_RESET,
+							[SOCK_REFUSED] = HTTP_CONN_REFUSED,
+							[SOCK_CONNECT_FAILED] =
+								HTTP_CONN_CONNECT_FAILED};
 
 	return ends[how];
 }
 
-static void on_ended(void *ctx, sock_end_t how)
+static void on_ended(void *ctx, sock_close_reason_t how)
 {
 	http_conn_t *conn = ctx;
 
 	conn->in_callback = true;
 	if (how == SOCK_CLOSED && conn->busy && http_message_has_head(conn->reply))
 		http_message_feed_end(conn->reply);
-	if (conn->busy && http_message_state(conn->reply) == HTTP_MESSAGE_WHOLE) {
+	if (conn->busy && http_message_state(conn->reply) == HTTP_MESSAGE_COMPLETE) {
 		take_reply(conn, true);
 	} else if (!conn->ended) {
 		end(conn, end_of(how));
@@ -142,8 +143,8 @@
 http_conn_t *http_conn_open(loop_t *loop, const char *address, uint16_t port,
 			    const http_conn_ops_t *ops, void *ctx)
 {
-	const http_message_limits_t limits = {.head_bytes = REPLY_HEAD_MOST_BYTES,
-					      .body_bytes = REPLY_BODY_MOST_BYTES};
+	const http_message_limits_t limits = {.head_bytes = REPLY_HEAD_MAX_BYTES,
+					      .body_bytes = REPLY_BODY_MAX_BYTES};
 	http_conn_t *conn = g_new0(http_conn_t, 1);
 
 	conn->ops = ops;
--- a/src/net/http_conn.h
+++ b/src/net/http_conn.h
@@ -14,13 +14,13 @@
 typedef struct http_conn_t http_conn_t;
 
 /** Why a connection ended. */
-typedef enum http_conn_end_t {
-	HTTP_CONN_CLOSED,    /**< closed in order by the peer */
-	HTTP_CONN_RESET,     /**< it broke */
-	HTTP_CONN_REFUSED,   /**< it was never established: nobody listens there */
-	HTTP_CONN_UNREACHED, /**< it was never established, for any other reason */
-	HTTP_CONN_GARBAGE,   /**< bytes that are no reply, or that no request asked for */
-} http_conn_end_t;
+typedef enum http_conn_close_reason_t {
+	HTTP_CONN_CLOSED,	  /**< closed in order by the peer */
+	HTTP_CONN_RESET,	  /**< it broke */
+	HTTP_CONN_REFUSED,	  /**< it was never established: nobody listens there */
+	HTTP_CONN_CONNECT_FAILED, /**< it was never established, for any other reason */
+	HTTP_CONN_PROTOCOL_ERROR, /**< bytes that are no reply, or that no request asked for */
+} http_conn_close_reason_t;
 
 typedef struct http_conn_ops_t {
 	/** The connection is established. May be NULL. */
@@ -33,7 +33,7 @@
 	void (*replied)(void *ctx, const http_message_t *reply, bool reusable);
 	/** The last call, unless http_conn_close() came first. A request that was out has no reply.
 	 */
-	void (*ended)(void *ctx, http_conn_end_t end);
+	void (*ended)(void *ctx, http_conn_close_reason_t end);
 } http_conn_ops_t;
 
 /** Connect to an IPv4 number; NULL when the machine has no descriptor left for it. */
--- a/src/net/http_exchange.c
+++ b/src/net/http_exchange.c
@@ -58,7 +58,7 @@
 {
 	GString *all;
 
-	if (http_message_header_times(exchange->message, name) < 2)
+	if (http_message_header_occurrences(exchange->message, name) < 2)
 		return http_message_header(exchange->message, name);
 	all = g_string_new(NULL);
 	for (size_t i = 0; i < http_message_header_count(exchange->message); i++) {
@@ -97,7 +97,7 @@
 	return http_message_body(exchange->message);
 }
 
-uint64_t http_exchange_begun_us(const http_exchange_t *exchange)
+uint64_t http_exchange_start_us(const http_exchange_t *exchange)
 {
 	return exchange->begun_us;
 }
@@ -119,7 +119,7 @@
 	g_string_append_printf(exchange->reply_headers, "%s: %s\r\n", name, value);
 }
 
-void http_exchange_add_lines(http_exchange_t *exchange, const char *lines)
+void http_exchange_add_header_lines(http_exchange_t *exchange, const char *lines)
 {
 	if (!exchange->reply_headers)
 		exchange->reply_headers = g_string_new(NULL);
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -9,13 +9,13 @@
 #include <string.h>
 
 /* Lines of headers taken; more than any caller of ours sends. */
-#define HEADERS_MOST 100
+#define HEADERS_MAX 100
 
 /* Where a text starts in `text`; offsets, because the buffer moves as it grows. */
-typedef struct header_place_t {
+typedef struct header_offsets_t {
 	uint32_t name;
 	uint32_t value;
-} header_place_t;
+} header_offsets_t;
 
 /* The head's bytes as they pass, to refuse what http-parser lets through. */
 typedef struct head_scan_t {
@@ -28,7 +28,7 @@
 
 /* Where the bytes of a body in chunks are; http-parser, as it is built here, takes any two bytes
  * for the end of a chunk, and a parser behind us would see other requests than we do. */
-typedef enum chunk_place_t {
+typedef enum chunk_state_t {
 	CHUNK_SIZE,	 /* hexadecimal digits */
 	CHUNK_EXTENSION, /* what may follow the size */
 	CHUNK_SIZE_LF,
@@ -36,10 +36,10 @@
 	CHUNK_DATA_CR,
 	CHUNK_DATA_LF,
 	CHUNK_TRAILER, /* lines after the last chunk; the parser finds their end */
-} chunk_place_t;
+} chunk_state_t;
 
 typedef struct chunk_scan_t {
-	chunk_place_t place;
+	chunk_state_t place;
 	uint64_t left; /* of the chunk */
 	uint32_t digits;
 } chunk_scan_t;
@@ -53,7 +53,7 @@
 	chunk_scan_t chunks;
 	bool is_chunked;
 	GString *text; /* NUL-ended texts: the target, then names and values */
-	header_place_t headers[HEADERS_MOST];
+	header_offsets_t headers[HEADERS_MAX];
 	uint32_t header_count;
 	bool in_value;
 	bool has_head;
@@ -91,7 +91,7 @@
 		return -1;
 	if (message->in_value || message->header_count == 0) {
 		end_value(message);
-		if (message->header_count == HEADERS_MOST)
+		if (message->header_count == HEADERS_MAX)
 			return -1;
 		g_string_append_c(message->text, '\0');
 		message->in_value = false;
@@ -149,7 +149,7 @@
 
 static int end_message(http_parser *parser)
 {
-	message_of(parser)->state = HTTP_MESSAGE_WHOLE;
+	message_of(parser)->state = HTTP_MESSAGE_COMPLETE;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -187,7 +187,7 @@
 	http_parser_init(&message->parser,
 			 message->kind == HTTP_MESSAGE_REQUEST ? HTTP_REQUEST : HTTP_RESPONSE);
 	message->parser.data = message;
-	message->state = HTTP_MESSAGE_MORE;
+	message->state = HTTP_MESSAGE_INCOMPLETE;
 	message->scan = (head_scan_t){.in_head = true};
 	message->chunks = (chunk_scan_t){0};
 	message->is_chunked = false;
@@ -238,7 +238,7 @@
 
 	while (i < bytes && message->scan.in_head) {
 		if (!scan_byte(&message->scan, data[i++])) {
-			message->state = HTTP_MESSAGE_BAD;
+			message->state = HTTP_MESSAGE_INVALID;
 			return 0;
 		}
 		if (message->scan.bytes > message->limits.head_bytes) {
@@ -305,15 +305,16 @@
 {
 	size_t taken = http_parser_execute(&message->parser, &callbacks, data, bytes);
 
-	if (message->state == HTTP_MESSAGE_MORE && HTTP_PARSER_ERRNO(&message->parser) != HPE_OK)
-		message->state = HTTP_MESSAGE_BAD;
+	if (message->state == HTTP_MESSAGE_INCOMPLETE &&
+	    HTTP_PARSER_ERRNO(&message->parser) != HPE_OK)
+		message->state = HTTP_MESSAGE_INVALID;
 	return taken;
 }
 
 /* Replies of the 100 range are announcements; the reply itself follows. */
 static bool is_interim(const http_message_t *message)
 {
-	return message->state == HTTP_MESSAGE_WHOLE && message->kind == HTTP_MESSAGE_REPLY &&
+	return message->state == HTTP_MESSAGE_COMPLETE && message->kind == HTTP_MESSAGE_REPLY &&
 	       message->parser.status_code / 100 == 1;
 }
 
@@ -321,14 +322,14 @@
 {
 	size_t taken = 0;
 
-	while (taken < bytes && message->state == HTTP_MESSAGE_MORE) {
+	while (taken < bytes && message->state == HTTP_MESSAGE_INCOMPLETE) {
 		size_t part = bytes - taken;
 
 		if (message->scan.in_head)
 			part = scan_head(message, data + taken, part);
 		else if (message->is_chunked && !scan_chunks(&message->chunks, data + taken, part))
-			message->state = HTTP_MESSAGE_BAD;
-		if (message->state != HTTP_MESSAGE_MORE)
+			message->state = HTTP_MESSAGE_INVALID;
+		if (message->state != HTTP_MESSAGE_INCOMPLETE)
 			return taken;
 		taken += parse(message, data + taken, part);
 		if (is_interim(message)) {
@@ -343,10 +344,10 @@
 
 void http_message_feed_end(http_message_t *message)
 {
-	if (message->state == HTTP_MESSAGE_MORE && message->has_head)
+	if (message->state == HTTP_MESSAGE_INCOMPLETE && message->has_head)
 		parse(message, NULL, 0);
-	if (message->state == HTTP_MESSAGE_MORE)
-		message->state = HTTP_MESSAGE_BAD;
+	if (message->state == HTTP_MESSAGE_INCOMPLETE)
+		message->state = HTTP_MESSAGE_INVALID;
 }
 
 http_message_state_t http_message_state(const http_message_t *message)
@@ -366,7 +367,7 @@
 
 bool http_message_keeps_alive(const http_message_t *message)
 {
-	return message->state == HTTP_MESSAGE_WHOLE && http_should_keep_alive(&message->parser);
+	return message->state == HTTP_MESSAGE_COMPLETE && http_should_keep_alive(&message->parser);
 }
 
 const char *http_message_method(const http_message_t *message)
@@ -391,7 +392,7 @@
 
 http_header_t http_message_header_at(const http_message_t *message, size_t index)
 {
-	const header_place_t *place = &message->headers[index];
+	const header_offsets_t *place = &message->headers[index];
 
 	return (http_header_t){.name = message->text->str + place->name,
 			       .value = message->text->str + place->value};
@@ -405,7 +406,7 @@
 	return NULL;
 }
 
-size_t http_message_header_times(const http_message_t *message, const char *name)
+size_t http_message_header_occurrences(const http_message_t *message, const char *name)
 {
 	size_t times = 0;
 
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -17,9 +17,9 @@
 typedef enum http_message_kind_t { HTTP_MESSAGE_REQUEST, HTTP_MESSAGE_REPLY } http_message_kind_t;
 
 typedef enum http_message_state_t {
-	HTTP_MESSAGE_MORE,  /**< not whole yet */
-	HTTP_MESSAGE_WHOLE, /**< whole; bytes after it were not taken */
-	HTTP_MESSAGE_BAD,   /**< not HTTP/1.1, or framed in a way that can't be trusted */
+	HTTP_MESSAGE_INCOMPLETE, /**< not whole yet */
+	HTTP_MESSAGE_COMPLETE,	 /**< whole; bytes after it were not taken */
+	HTTP_MESSAGE_INVALID,	 /**< not HTTP/1.1, or framed in a way that can't be trusted */
 	HTTP_MESSAGE_HEAD_TOO_LARGE,
 	HTTP_MESSAGE_BODY_TOO_LARGE,
 } http_message_state_t;
@@ -65,7 +65,7 @@
 /** The first value of a header, by its name in any case; NULL when there is none. */
 const char *http_message_header(const http_message_t *message, const char *name);
 /** How often a header is given. */
-size_t http_message_header_times(const http_message_t *message, const char *name);
+size_t http_message_header_occurrences(const http_message_t *message, const char *name);
 const GString *http_message_body(const http_message_t *message);
 
 #endif
--- a/src/net/http_pool.h
+++ b/src/net/http_pool.h
@@ -14,12 +14,12 @@
 typedef struct http_call_t http_call_t;
 
 /** How a call ended. */
-typedef enum http_end_t {
-	HTTP_END_REPLIED,   /**< a whole reply arrived */
-	HTTP_END_NOT_SENT,  /**< no byte of the request can have reached the peer */
-	HTTP_END_CUT,	    /**< failed after a byte may have reached the peer */
-	HTTP_END_CANCELLED, /**< ended by http_call_cancel() */
-} http_end_t;
+typedef enum http_call_result_t {
+	HTTP_CALL_REPLIED,	   /**< a whole reply arrived */
+	HTTP_CALL_NOT_SENT,	   /**< no byte of the request can have reached the peer */
+	HTTP_CALL_CONNECTION_LOST, /**< failed after a byte may have reached the peer */
+	HTTP_CALL_CANCELLED,	   /**< ended by http_call_cancel() */
+} http_call_result_t;
 
 /** What to send, and whom to tell. Strings are copied. */
 typedef struct http_request_t {
@@ -30,8 +30,8 @@
 	const char *headers; /**< whole header lines, each ended by CRLF, or NULL */
 	const char *body;    /**< NULL for none */
 	size_t body_bytes;
-	const char *kept_header; /**< of the reply, for http_call_header(); NULL: none */
-	uint64_t idle_most_us; /**< a kept connection that was idle for longer is not used again: it
+	const char *reply_header; /**< of the reply, for http_call_header(); NULL: none */
+	uint64_t idle_max_us;  /**< a kept connection that was idle for longer is not used again: it
 				* may have gone silent; 0: any is */
 	bool fresh_connection; /**< do not reuse one: it could die silently under the request */
 	/** Called once, from the loop. The slot is free again once this is called. */
@@ -43,10 +43,10 @@
 
 /** Start a call on a slot that has none to this endpoint. */
 http_call_t *http_pool_start(http_pool_t *pool, uint32_t slot, const http_request_t *request);
-/** Close the call's connection; `finished` follows with HTTP_END_CANCELLED. */
+/** Close the call's connection; `finished` follows with HTTP_CALL_CANCELLED. */
 void http_call_cancel(http_call_t *call);
 
-http_end_t http_call_end(const http_call_t *call);
+http_call_result_t http_call_result(const http_call_t *call);
 int http_call_status(const http_call_t *call);
 const GString *http_call_reply(const http_call_t *call);
 /** The reply's header that was asked for; NULL when it has none. */
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -9,17 +9,17 @@
 #include <string.h>
 
 /* How often connections are looked over for their time limits: a tenth of the shortest of them. */
-#define SWEEP_US 250000
+#define SWEEP_INTERVAL_US 250000
 /* A closing connection waits so long for the peer's end, so that the last reply is not lost to a
  * reset caused by bytes still on their way. Above any round trip, far below a planned stop. */
-#define LINGER_US 1000000
+#define LINGER_TIMEOUT_US 1000000
 /* A caller who takes none of its reply for so long is given up. */
-#define UNREAD_REPLY_US 30000000
+#define UNREAD_REPLY_TIMEOUT_US 30000000
 /* Bytes kept of requests that follow one being answered; one that sends more is cut off. */
-#define PIPELINED_MOST_BYTES (1u << 20)
+#define PIPELINED_MAX_BYTES (1u << 20)
 
 /* From connecting to the first request: a round trip, and a caller that is busy. */
-#define FRESH_US 300000
+#define NEW_CONNECTION_GRACE_US 300000
 
 /* One accepted connection. */
 struct connection_t {
@@ -196,27 +196,27 @@
 	http_exchange_unref(exchange);
 }
 
-static bool lacks_length(const connection_t *connection)
+static bool lacks_content_length(const connection_t *connection)
 {
-	return connection->server->ops->needs_length &&
+	return connection->server->ops->requires_length &&
 	       http_message_has_head(connection->message) &&
 	       http_message_header(connection->message, "Transfer-Encoding");
 }
 
 /* Acts on what has been received so far; false when no more is to be read. */
-static bool take_state(connection_t *connection)
+static bool handle_message_state(connection_t *connection)
 {
-	if (lacks_length(connection)) {
+	if (lacks_content_length(connection)) {
 		refuse(connection, 411, "Content-Length is required");
 		return false;
 	}
 	switch (http_message_state(connection->message)) {
-	case HTTP_MESSAGE_MORE:
+	case HTTP_MESSAGE_INCOMPLETE:
 		return true;
-	case HTTP_MESSAGE_WHOLE:
+	case HTTP_MESSAGE_COMPLETE:
 		begin_exchange(connection);
 		return true;
-	case HTTP_MESSAGE_BAD:
+	case HTTP_MESSAGE_INVALID:
 		refuse(connection, 400, "this is not a request in HTTP/1.1");
 		return false;
 	case HTTP_MESSAGE_HEAD_TOO_LARGE:
@@ -229,7 +229,7 @@
 	return false;
 }
 
-static void keep_pipelined(connection_t *connection, const char *data, size_t bytes)
+static void buffer_pipelined(connection_t *connection, const char *data, size_t bytes)
 {
 	if (!connection->pipelined)
 		connection->pipelined = g_byte_array_new();
@@ -247,12 +247,12 @@
 		taken = http_message_feed(connection->message, data, bytes);
 		data += taken;
 		bytes -= taken;
-		if (!take_state(connection))
+		if (!handle_message_state(connection))
 			break;
 	}
 	connection->feeding = false;
 	if (bytes && connection->exchange)
-		keep_pipelined(connection, data, bytes);
+		buffer_pipelined(connection, data, bytes);
 }
 
 /* ---- connections ---- */
@@ -276,8 +276,8 @@
 		feed(connection, data, bytes);
 		return;
 	}
-	keep_pipelined(connection, data, bytes);
-	if (connection->pipelined->len > PIPELINED_MOST_BYTES) {
+	buffer_pipelined(connection, data, bytes);
+	if (connection->pipelined->len > PIPELINED_MAX_BYTES) {
 		g_info("event=caller-cut connection=%" G_GUINT64_FORMAT " reason=pipelined-bytes",
 		       connection->serial);
 		linger(connection);
@@ -294,7 +294,7 @@
 	feed_pipelined(connection);
 }
 
-static void on_ended(void *ctx, sock_end_t end)
+static void on_ended(void *ctx, sock_close_reason_t end)
 {
 	connection_t *connection = ctx;
 	http_server_t *server = connection->server;
@@ -344,7 +344,7 @@
 	on_ended(connection, SOCK_CLOSED);
 }
 
-void http_exchange_cut(http_exchange_t *exchange)
+void http_exchange_abort(http_exchange_t *exchange)
 {
 	if (exchange->connection)
 		drop(exchange->connection);
@@ -357,10 +357,10 @@
 	bool unread = connection->exchange && connection->exchange->replied;
 
 	if (unread) {
-		if (age_us > UNREAD_REPLY_US)
+		if (age_us > UNREAD_REPLY_TIMEOUT_US)
 			drop(connection);
 	} else if (connection->lingering) {
-		if (age_us > LINGER_US)
+		if (age_us > LINGER_TIMEOUT_US)
 			drop(connection);
 	} else if (connection->exchange) {
 		return;
@@ -382,7 +382,7 @@
 		next = item->next;
 		check_limits(item->data, now_us);
 	}
-	loop_timer_set(server->loop, &server->sweep, SWEEP_US);
+	loop_timer_set(server->loop, &server->sweep, SWEEP_INTERVAL_US);
 }
 
 http_server_t *http_server_new(loop_t *loop, const char *address, uint16_t port,
@@ -402,11 +402,11 @@
 		g_free(server);
 		return NULL;
 	}
-	loop_timer_set(loop, &server->sweep, SWEEP_US);
+	loop_timer_set(loop, &server->sweep, SWEEP_INTERVAL_US);
 	return server;
 }
 
-void http_server_end(http_server_t *server)
+void http_server_free(http_server_t *server)
 {
 	listener_close(server->listener);
 	loop_timer_cancel(&server->sweep);
@@ -430,7 +430,7 @@
 	return server->connections_peak;
 }
 
-void http_server_leave(http_server_t *server)
+void http_server_drain(http_server_t *server)
 {
 	server->leaving = true;
 }
@@ -441,7 +441,7 @@
 {
 	return !connection->exchange && !connection->lingering &&
 	       !http_message_started(connection->message) &&
-	       now_us >= connection->since_us + FRESH_US;
+	       now_us >= connection->since_us + NEW_CONNECTION_GRACE_US;
 }
 
 void http_server_close_idle(http_server_t *server)
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -20,7 +20,7 @@
 	/** Form the body of an error found by the server itself (too large, slow). May be NULL. */
 	char *(*error_body)(void *ctx, int status, const char *detail);
 	/** Refuse bodies sent in chunks with 411. */
-	bool needs_length;
+	bool requires_length;
 	/** Most connections accepted at once; 0 for no limit. */
 	uint32_t connection_limit;
 } http_server_ops_t;
@@ -33,8 +33,8 @@
 } http_server_limits_t;
 
 /** Limits for interfaces of our own: heads and bodies of a few KB from callers near by. */
-#define HTTP_SERVER_OWN_LIMITS(most_body_bytes)                                                    \
-	((http_server_limits_t){.message = {.head_bytes = 8192, .body_bytes = (most_body_bytes)},  \
+#define HTTP_SERVER_INTERNAL_LIMITS(body_max_bytes)                                                \
+	((http_server_limits_t){.message = {.head_bytes = 8192, .body_bytes = (body_max_bytes)},   \
 				.receive_us = 5000000,                                             \
 				.idle_us = 60000000})
 
@@ -43,7 +43,7 @@
 			       const http_server_limits_t *limits, const http_server_ops_t *ops,
 			       void *ctx);
 /** Stop listening, drop all connections at once and free the server. */
-void http_server_end(http_server_t *server);
+void http_server_free(http_server_t *server);
 /** Put other limits in force for requests to come. */
 void http_server_set_limits(http_server_t *server, const http_server_limits_t *limits);
 /** Connections open now, and the most there ever were. */
@@ -52,7 +52,7 @@
 /** The serial number of the newest connection. */
 uint64_t http_server_connections_serial(const http_server_t *server);
 /** Reply with `Connection: close` from here on, so that callers go elsewhere. */
-void http_server_leave(http_server_t *server);
+void http_server_drain(http_server_t *server);
 /** Close the kept connections on which no request has begun. */
 void http_server_close_idle(http_server_t *server);
 /** Requests received and not yet wholly answered. */
@@ -73,16 +73,16 @@
 uint64_t http_exchange_connection(const http_exchange_t *exchange);
 const GString *http_exchange_body(const http_exchange_t *exchange);
 /** When the request's first byte arrived. */
-uint64_t http_exchange_begun_us(const http_exchange_t *exchange);
+uint64_t http_exchange_start_us(const http_exchange_t *exchange);
 void http_exchange_set_data(http_exchange_t *exchange, void *data);
 void *http_exchange_data(const http_exchange_t *exchange);
 /** Close its connection in place of a reply, as if it had broken; `gone` follows before the return.
  */
-void http_exchange_cut(http_exchange_t *exchange);
+void http_exchange_abort(http_exchange_t *exchange);
 /** Add a header to the reply to come. */
 void http_exchange_add_header(http_exchange_t *exchange, const char *name, const char *value);
 /** Add whole header lines, each ended by CRLF, to the reply to come. */
-void http_exchange_add_lines(http_exchange_t *exchange, const char *lines);
+void http_exchange_add_header_lines(http_exchange_t *exchange, const char *lines);
 /** Send the one reply; @p content_type may be NULL. A reply to a caller who has gone is dropped. */
 void http_exchange_reply(http_exchange_t *exchange, int status, const char *content_type,
 			 const char *body, size_t body_bytes);
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -12,24 +12,24 @@
 #include <unistd.h>
 
 /* Longer than the clocks are read apart on a busy machine, shorter than anything that matters. */
-#define STILL_LEAST_US 300000
+#define SUSPENDED_MIN_US 300000
 /* A timer so late was not held up by load: a processor's quota takes a tenth of a second away,
  * other processes less. */
-#define LATE_LEAST_US 600000
+#define TIMER_LATE_MIN_US 600000
 /* A wait that ends so soon found its events there already. */
-#define AT_ONCE_US 1000
+#define IMMEDIATE_WAIT_US 1000
 
 /* Descriptors that libwebsockets polls by itself: those of peers, and the one that stands for all
  * others. */
 #define LWS_FD_LIMIT 1024
 /* Descriptors told of in one turn; the rest comes in the next, after timers and messages. */
-#define READY_MOST 256
+#define READY_EVENTS_MAX 256
 
-typedef struct posted_t {
+typedef struct posted_message_t {
 	loop_receive_f receive;
 	void *task;
 	void *message;
-} posted_t;
+} posted_message_t;
 
 struct loop_t {
 	struct lws_context *context;
@@ -39,24 +39,24 @@
 	uint64_t armed_us; /* when it is set to fire; TIMERS_NEVER when it is not */
 	struct lws_protocols protocols[2];
 	int epoll_fd; /* of all watched descriptors */
-	struct epoll_event ready[READY_MOST];
+	struct epoll_event ready[READY_EVENTS_MAX];
 	int ready_count; /* of those being told */
-	void (*turn_done)(void *ctx);
-	void *turn_ctx;
+	void (*iteration_end)(void *ctx);
+	void *iteration_end_ctx;
 	void (*woke)(void *ctx, uint64_t still_us);
-	void *woke_ctx;
+	void *resumed_ctx;
 	int64_t still_us; /* time that the machine has stood still since it started */
 	bool stopping;
-	uint64_t wait_us;   /* when it began to wait for events */
-	uint64_t woke_us;   /* when the first event after that was told; 0: not yet */
-	uint64_t before_us; /* woke_us of the turn before */
+	uint64_t wait_us;	 /* when it began to wait for events */
+	uint64_t first_event_us; /* when the first event after that was told; 0: not yet */
+	uint64_t before_us;	 /* first_event_us of the turn before */
 };
 
 /* Signal handlers take no context: the flags and the context to wake stand alone here. */
 static volatile sig_atomic_t pending_signals[32];
 static struct lws_context *volatile wake_context;
 
-static void note_signal(int number)
+static void record_signal(int number)
 {
 	pending_signals[number] = 1;
 	if (wake_context)
@@ -115,7 +115,7 @@
 	close(fd);
 }
 
-static bool tell_writable(fd_watch_t *watch)
+static bool report_writable(fd_watch_t *watch)
 {
 	watch->wants_write = false;
 	set_events(watch, EPOLL_CTL_MOD);
@@ -124,7 +124,7 @@
 
 /* A connection that broke while it was made is told as writable, any other as readable: the next
  * call on it gives the error. */
-static void tell_ready(fd_watch_t *watch, uint32_t events)
+static void report_ready(fd_watch_t *watch, uint32_t events)
 {
 	bool broke = events & (EPOLLERR | EPOLLHUP);
 	bool writable = watch->wants_write && (broke || (events & EPOLLOUT));
@@ -134,19 +134,19 @@
 	if (readable)
 		stays = watch->event(watch, FD_READABLE);
 	if (stays && writable)
-		stays = tell_writable(watch);
+		stays = report_writable(watch);
 	if (!stays)
 		loop_unwatch(watch);
 }
 
-static void tell_all_ready(loop_t *loop)
+static void report_all_ready(loop_t *loop)
 {
-	if (!loop->woke_us)
-		loop->woke_us = loop_now_us();
-	loop->ready_count = epoll_wait(loop->epoll_fd, loop->ready, READY_MOST, 0);
+	if (!loop->first_event_us)
+		loop->first_event_us = loop_now_us();
+	loop->ready_count = epoll_wait(loop->epoll_fd, loop->ready, READY_EVENTS_MAX, 0);
 	for (int i = 0; i < loop->ready_count; i++)
 		if (loop->ready[i].data.ptr)
-			tell_ready(loop->ready[i].data.ptr, loop->ready[i].events);
+			report_ready(loop->ready[i].data.ptr, loop->ready[i].events);
 	loop->ready_count = 0;
 }
 
@@ -157,11 +157,11 @@
 	(void)in;
 	(void)len;
 	if (reason == LWS_CALLBACK_RAW_RX_FILE)
-		tell_all_ready(lws_context_user(lws_get_context(wsi)));
+		report_all_ready(lws_context_user(lws_get_context(wsi)));
 	return 0;
 }
 
-static bool on_wake(fd_watch_t *watch, fd_event_t event)
+static bool on_timerfd(fd_watch_t *watch, fd_event_t event)
 {
 	uint64_t expirations;
 
@@ -193,7 +193,7 @@
 {
 	loop->armed_us = TIMERS_NEVER;
 	loop->wake = (fd_watch_t){.fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC),
-				  .event = on_wake};
+				  .event = on_timerfd};
 	if (loop->wake.fd < 0 || !loop_watch(loop, &loop->wake))
 		g_error("event=loop-failed reason=timerfd");
 	timers_init(&loop->timers);
@@ -228,15 +228,15 @@
 
 void loop_post(loop_t *loop, loop_receive_f receive, void *task, void *message)
 {
-	posted_t *posted = g_new(posted_t, 1);
+	posted_message_t *posted = g_new(posted_message_t, 1);
 
-	*posted = (posted_t){.receive = receive, .task = task, .message = message};
+	*posted = (posted_message_t){.receive = receive, .task = task, .message = message};
 	g_queue_push_tail(&loop->mailbox, posted);
 }
 
 static void loop_deliver(loop_t *loop)
 {
-	posted_t *posted;
+	posted_message_t *posted;
 
 	while ((posted = g_queue_pop_head(&loop->mailbox))) {
 		posted->receive(posted->task, posted->message);
@@ -249,7 +249,7 @@
  * late, when the next event came on some socket. A timer that was cancelled leaves the descriptor
  * armed: one wake-up for nothing costs less than a system call for each request that ends in time.
  */
-static void arm_wake(loop_t *loop)
+static void arm_timerfd(loop_t *loop)
 {
 	uint64_t next_us = timers_next_us(&loop->timers), now_us = loop_now_us();
 	uint64_t delay_us = next_us > now_us ? next_us - now_us : 1;
@@ -288,17 +288,17 @@
 }
 
 /* Messages may set timers and timers post messages; both are done before the next wait. */
-static void loop_turn(loop_t *loop)
+static void run_messages_and_timers(loop_t *loop)
 {
 	loop_deliver(loop);
 	timers_run(&loop->timers, loop_now_us());
 	loop_deliver(loop);
 }
 
-void loop_set_turn(loop_t *loop, void (*done)(void *ctx), void *ctx)
+void loop_set_iteration_end(loop_t *loop, void (*done)(void *ctx), void *ctx)
 {
-	loop->turn_done = done;
-	loop->turn_ctx = ctx;
+	loop->iteration_end = done;
+	loop->iteration_end_ctx = ctx;
 }
 
 /* The two clocks are read one after the other: the difference may go back a little. */
@@ -307,10 +307,10 @@
 	return (int64_t)loop_now_us() - g_get_monotonic_time();
 }
 
-void loop_set_woke(loop_t *loop, void (*woke)(void *ctx, uint64_t still_us), void *ctx)
+void loop_set_resumed(loop_t *loop, void (*woke)(void *ctx, uint64_t still_us), void *ctx)
 {
 	loop->woke = woke;
-	loop->woke_ctx = ctx;
+	loop->resumed_ctx = ctx;
 	loop->still_us = still_us();
 }
 
@@ -319,19 +319,19 @@
  * that left meanwhile. After a suspension one clock has counted that time and the other has not;
  * after any other halt the timer that was armed is late.
  */
-static void check_still(loop_t *loop)
+static void check_suspension(loop_t *loop)
 {
 	int64_t now_still_us = still_us();
 	int64_t more_us = now_still_us - loop->still_us;
 
 	uint64_t now_us = loop_now_us();
-	bool late = loop->armed_us != TIMERS_NEVER && now_us > loop->armed_us + LATE_LEAST_US;
+	bool late = loop->armed_us != TIMERS_NEVER && now_us > loop->armed_us + TIMER_LATE_MIN_US;
 
 	loop->still_us = now_still_us;
-	if (more_us > STILL_LEAST_US)
-		loop->woke(loop->woke_ctx, (uint64_t)more_us);
+	if (more_us > SUSPENDED_MIN_US)
+		loop->woke(loop->resumed_ctx, (uint64_t)more_us);
 	else if (late)
-		loop->woke(loop->woke_ctx, now_us - loop->armed_us);
+		loop->woke(loop->resumed_ctx, now_us - loop->armed_us);
 }
 
 void loop_run(loop_t *loop, void (*on_signal)(void *ctx, int signal_number), void *ctx)
@@ -341,28 +341,28 @@
 	wake_context = loop->context;
 	signal(SIGPIPE, SIG_IGN);
 	for (size_t i = 0; i < G_N_ELEMENTS(watched); i++)
-		signal(watched[i], note_signal);
+		signal(watched[i], record_signal);
 
 	loop->stopping = false;
-	loop_turn(loop);
+	run_messages_and_timers(loop);
 	while (!loop->stopping) {
-		arm_wake(loop);
-		loop->before_us = loop->woke_us;
-		loop->woke_us = 0;
+		arm_timerfd(loop);
+		loop->before_us = loop->first_event_us;
+		loop->first_event_us = 0;
 		loop->wait_us = loop_now_us();
-		if (loop->turn_done)
-			loop->turn_done(loop->turn_ctx);
+		if (loop->iteration_end)
+			loop->iteration_end(loop->iteration_end_ctx);
 		if (lws_service(loop->context, 0) < 0)
 			break;
 		if (loop->woke)
-			check_still(loop);
+			check_suspension(loop);
 		for (size_t i = 0; i < G_N_ELEMENTS(watched); i++) {
 			if (!pending_signals[watched[i]])
 				continue;
 			pending_signals[watched[i]] = 0;
 			on_signal(ctx, watched[i]);
 		}
-		loop_turn(loop);
+		run_messages_and_timers(loop);
 	}
 	wake_context = NULL;
 }
@@ -375,11 +375,11 @@
 /* Events that were there before the wait began came at any time since the turn before began. */
 uint64_t loop_arrival_us(const loop_t *loop)
 {
-	bool at_once = loop->woke_us < loop->wait_us + AT_ONCE_US;
+	bool at_once = loop->first_event_us < loop->wait_us + IMMEDIATE_WAIT_US;
 
-	if (!loop->woke_us) /* from a timer */
+	if (!loop->first_event_us) /* from a timer */
 		return loop_now_us();
-	return at_once && loop->before_us ? loop->before_us : loop->woke_us;
+	return at_once && loop->before_us ? loop->before_us : loop->first_event_us;
 }
 
 uint64_t loop_now_us(void)
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -62,9 +62,9 @@
 void loop_timer_cancel(loop_timer_t *timer);
 
 /** Call @p done at the end of each turn, before waiting. */
-void loop_set_turn(loop_t *loop, void (*done)(void *ctx), void *ctx);
+void loop_set_iteration_end(loop_t *loop, void (*done)(void *ctx), void *ctx);
 /** Call @p woke after the machine stood still for a while, as when it was suspended. */
-void loop_set_woke(loop_t *loop, void (*woke)(void *ctx, uint64_t still_us), void *ctx);
+void loop_set_resumed(loop_t *loop, void (*woke)(void *ctx, uint64_t still_us), void *ctx);
 
 /** Run until loop_stop(); @p on_signal is called with each SIGTERM, SIGINT or SIGHUP. */
 void loop_run(loop_t *loop, void (*on_signal)(void *ctx, int signal_number), void *ctx);
--- a/src/net/sock.c
+++ b/src/net/sock.c
@@ -17,7 +17,7 @@
 /* Connections queued by the kernel while one turn of the loop runs; beyond it callers wait. */
 #define LISTEN_BACKLOG 512
 /* A peer that acknowledges nothing for so long is gone; well above any link's round trip. */
-#define UNACKNOWLEDGED_MOST_MS 6000
+#define UNACKNOWLEDGED_MAX_MS 6000
 
 struct sock_t {
 	fd_watch_t watch; /* first: the loop's events come with a pointer to it */
@@ -37,43 +37,43 @@
 	void *ctx;
 };
 
-const char *sock_end_name(sock_end_t end)
+const char *sock_close_reason_name(sock_close_reason_t end)
 {
 	static const char *const names[] = {[SOCK_CLOSED] = "closed",
 					    [SOCK_RESET] = "reset",
 					    [SOCK_REFUSED] = "refused",
-					    [SOCK_UNREACHED] = "unreached"};
+					    [SOCK_CONNECT_FAILED] = "unreached"};
 
 	return names[end];
 }
 
-static void drop_out(sock_t *sock)
+static void free_unsent(sock_t *sock)
 {
 	if (sock->out)
 		g_byte_array_unref(sock->out);
 	sock->out = NULL;
 }
 
-static void tell_end(sock_t *sock, sock_end_t end)
+static void report_close(sock_t *sock, sock_close_reason_t end)
 {
 	if (sock->closed)
 		return;
 	sock->closed = true;
 	if (sock->connecting && end != SOCK_REFUSED)
-		end = SOCK_UNREACHED;
+		end = SOCK_CONNECT_FAILED;
 	if (sock->ops)
 		sock->ops->ended(sock->ctx, end);
 }
 
 /* A connection that can't be made may be told as readable first: then it is the read that says why.
  */
-static sock_end_t end_of(int problem)
+static sock_close_reason_t end_of(int problem)
 {
 	return problem == ECONNREFUSED ? SOCK_REFUSED : SOCK_RESET;
 }
 
 /* 0 to go on, -1 when the connection has ended. */
-static int read_some(sock_t *sock)
+static int read_available(sock_t *sock)
 {
 	char chunk[READ_CHUNK_BYTES];
 	ssize_t got;
@@ -83,7 +83,7 @@
 		if (got < 0 && (errno == EAGAIN || errno == EINTR))
 			return 0;
 		if (got <= 0) {
-			tell_end(sock, got == 0 ? SOCK_CLOSED : end_of(errno));
+			report_close(sock, got == 0 ? SOCK_CLOSED : end_of(errno));
 			return -1;
 		}
 		if (sock->ops)
@@ -98,7 +98,7 @@
 	socklen_t size = sizeof(problem);
 
 	if (getsockopt(sock->watch.fd, SOL_SOCKET, SO_ERROR, &problem, &size) || problem) {
-		tell_end(sock, end_of(problem));
+		report_close(sock, end_of(problem));
 		return -1;
 	}
 	sock->connecting = false;
@@ -106,7 +106,7 @@
 	return sock->closed ? -1 : 0;
 }
 
-static int write_rest(sock_t *sock)
+static int write_unsent(sock_t *sock)
 {
 	ssize_t sent;
 
@@ -114,7 +114,7 @@
 		return 0;
 	sent = send(sock->watch.fd, sock->out->data, sock->out->len, MSG_NOSIGNAL);
 	if (sent < 0 && errno != EAGAIN && errno != EINTR) {
-		tell_end(sock, SOCK_RESET);
+		report_close(sock, SOCK_RESET);
 		return -1;
 	}
 	if (sent > 0)
@@ -123,7 +123,7 @@
 		loop_want_write(&sock->watch);
 		return 0;
 	}
-	drop_out(sock);
+	free_unsent(sock);
 	if (sock->shutting_down)
 		shutdown(sock->watch.fd, SHUT_WR);
 	if (sock->ops && sock->ops->flushed)
@@ -132,11 +132,11 @@
 }
 
 /* The loop closes the descriptor after this; bytes that came with the end are still read. */
-static void let_go(sock_t *sock)
+static void free_closed(sock_t *sock)
 {
-	if (!sock->closed && read_some(sock) == 0)
-		tell_end(sock, SOCK_RESET);
-	drop_out(sock);
+	if (!sock->closed && read_available(sock) == 0)
+		report_close(sock, SOCK_RESET);
+	free_unsent(sock);
 	g_free(sock);
 }
 
@@ -148,15 +148,15 @@
 	sock->in_callback = true;
 	switch (event) {
 	case FD_READABLE:
-		end = read_some(sock);
+		end = read_available(sock);
 		break;
 	case FD_WRITABLE:
 		end = sock->connecting ? finish_connect(sock) : 0;
 		if (!end)
-			end = write_rest(sock);
+			end = write_unsent(sock);
 		break;
 	case FD_CLOSED:
-		let_go(sock);
+		free_closed(sock);
 		return false;
 	}
 	sock->in_callback = false;
@@ -165,7 +165,7 @@
 
 static void set_options(int fd)
 {
-	int on = 1, limit_ms = UNACKNOWLEDGED_MOST_MS;
+	int on = 1, limit_ms = UNACKNOWLEDGED_MAX_MS;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit_ms, sizeof(limit_ms));
--- a/src/net/sock.h
+++ b/src/net/sock.h
@@ -15,12 +15,12 @@
 typedef struct listener_t listener_t;
 
 /** How a connection ended. */
-typedef enum sock_end_t {
-	SOCK_CLOSED,	/**< the peer closed it in order */
-	SOCK_RESET,	/**< it broke: reset, timed out in the kernel, unreachable */
-	SOCK_REFUSED,	/**< it was never established: nobody listens there */
-	SOCK_UNREACHED, /**< it was never established, for any other reason */
-} sock_end_t;
+typedef enum sock_close_reason_t {
+	SOCK_CLOSED,	     /**< the peer closed it in order */
+	SOCK_RESET,	     /**< it broke: reset, timed out in the kernel, unreachable */
+	SOCK_REFUSED,	     /**< it was never established: nobody listens there */
+	SOCK_CONNECT_FAILED, /**< it was never established, for any other reason */
+} sock_close_reason_t;
 
 typedef struct sock_ops_t {
 	/** An outgoing connection is established. */
@@ -30,10 +30,10 @@
 	/** Everything written was taken by the kernel, after some had to wait. May be NULL. */
 	void (*flushed)(void *ctx);
 	/** The last call for this socket, unless sock_close() came first. */
-	void (*ended)(void *ctx, sock_end_t end);
+	void (*ended)(void *ctx, sock_close_reason_t end);
 } sock_ops_t;
 
-const char *sock_end_name(sock_end_t end);
+const char *sock_close_reason_name(sock_close_reason_t end);
 /** Connect to an IPv4 number; NULL when the machine has no descriptor left for it. */
 sock_t *sock_connect(loop_t *loop, const char *address, uint16_t port, const sock_ops_t *ops,
 		     void *ctx);
--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -261,7 +261,7 @@
 	task->configs = configs;
 	task->server = http_server_new(loop, source->settings->listen_address,
 				       (uint16_t)source->settings->admin_port,
-				       &HTTP_SERVER_OWN_LIMITS(BODY_LIMIT_BYTES), &ops, task);
+				       &HTTP_SERVER_INTERNAL_LIMITS(BODY_LIMIT_BYTES), &ops, task);
 	if (task->server)
 		return task;
 	g_free(task);
--- a/src/tasks/caller_task.c
+++ b/src/tasks/caller_task.c
@@ -270,7 +270,7 @@
 	static const http_server_ops_t server_ops = {.request = on_request,
 						     .gone = on_gone,
 						     .error_body = error_body,
-						     .needs_length = true};
+						     .requires_length = true};
 	static const query_task_ops_t query_ops = {.reply = on_reply};
 	caller_task_t *task = g_new0(caller_task_t, 1);
 
@@ -281,7 +281,7 @@
 	query_task_set_ops(queries, &query_ops, task);
 	task->server =
 		http_server_new(loop, settings->listen_address, (uint16_t)settings->callers_port,
-				&HTTP_SERVER_OWN_LIMITS(BODY_LIMIT_BYTES), &server_ops, task);
+				&HTTP_SERVER_INTERNAL_LIMITS(BODY_LIMIT_BYTES), &server_ops, task);
 	if (task->server)
 		return task;
 	g_free(task->vm_name);
@@ -291,7 +291,7 @@
 
 void caller_task_leave(caller_task_t *task)
 {
-	http_server_leave(task->server);
+	http_server_drain(task->server);
 }
 
 uint32_t caller_task_open(const caller_task_t *task)
--- a/src/tasks/feed_client.c
+++ b/src/tasks/feed_client.c
@@ -91,12 +91,12 @@
 		dispose(client);
 }
 
-static void on_ended(void *ctx, sock_end_t end)
+static void on_ended(void *ctx, sock_close_reason_t end)
 {
 	feed_client_t *client = ctx;
 
 	client->sock = NULL;
-	client_end(client, sock_end_name(end));
+	client_end(client, sock_close_reason_name(end));
 }
 
 feed_client_t *feed_client_new(loop_t *loop, const char *address, uint16_t port,
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -169,7 +169,7 @@
 	subscriber_free(subscriber);
 }
 
-static void on_ended(void *ctx, sock_end_t end)
+static void on_ended(void *ctx, sock_close_reason_t end)
 {
 	(void)end;
 	subscriber_free(ctx);
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -393,7 +393,7 @@
 	if (!task->refusing)
 		task->last_request_us = loop_now_us();
 	if (*http_message_target(message) != '/' ||
-	    http_message_header_times(message, "Host") != 1) {
+	    http_message_header_occurrences(message, "Host") != 1) {
 		refuse(exchange, "a path and one Host are required");
 		return;
 	}
@@ -631,10 +631,10 @@
 					&caller_ops, task);
 	task->hops = hop_server_new(task->loop, gather->address, gather->port, &hop_ops, task);
 	return task->callers && task->hops &&
-	       http_server_new(task->loop, ready->address, ready->port, &HTTP_SERVER_OWN_LIMITS(0),
-			       &ready_ops, task) &&
+	       http_server_new(task->loop, ready->address, ready->port,
+			       &HTTP_SERVER_INTERNAL_LIMITS(0), &ready_ops, task) &&
 	       http_server_new(task->loop, metrics->address, metrics->port,
-			       &HTTP_SERVER_OWN_LIMITS(0), &metrics_ops, task);
+			       &HTTP_SERVER_INTERNAL_LIMITS(0), &metrics_ops, task);
 }
 
 static void start_registry(front_task_t *task, const settings_t *settings)
@@ -730,7 +730,7 @@
 void front_task_leave(front_task_t *task)
 {
 	task->leaving = true;
-	http_server_leave(task->callers);
+	http_server_drain(task->callers);
 	hop_server_leave(task->hops);
 }
 
--- a/src/tasks/hop_client.c
+++ b/src/tasks/hop_client.c
@@ -89,9 +89,9 @@
 	client->heard(client->heard_ctx);
 }
 
-static void on_ended(void *ctx, sock_end_t end)
+static void on_ended(void *ctx, sock_close_reason_t end)
 {
-	link_lost(ctx, sock_end_name(end));
+	link_lost(ctx, sock_close_reason_name(end));
 }
 
 static void link_open(hop_client_t *client, gatherer_t *gatherer)
--- a/src/tasks/hop_server.c
+++ b/src/tasks/hop_server.c
@@ -204,7 +204,7 @@
 	conn_free(conn);
 }
 
-static void on_ended(void *ctx, sock_end_t end)
+static void on_ended(void *ctx, sock_close_reason_t end)
 {
 	(void)end;
 	conn_free(ctx);
--- a/src/tasks/link_task.c
+++ b/src/tasks/link_task.c
@@ -151,14 +151,14 @@
 }
 
 /* A searcher that holds as many connections as it takes resets the next at once. */
-static void note_broken(link_conn_t *conn, http_conn_end_t end)
+static void note_broken(link_conn_t *conn, http_conn_close_reason_t end)
 {
 	link_counters_t *counters = &conn->link->task->counters;
 	searcher_t *searcher = conn->link->searcher;
 
-	counters->refused += end == HTTP_CONN_REFUSED || end == HTTP_CONN_UNREACHED;
+	counters->refused += end == HTTP_CONN_REFUSED || end == HTTP_CONN_CONNECT_FAILED;
 	counters->reset += end == HTTP_CONN_RESET;
-	counters->garbage += end == HTTP_CONN_GARBAGE;
+	counters->garbage += end == HTTP_CONN_PROTOCOL_ERROR;
 	if (end == HTTP_CONN_RESET && conn->opened && !conn->answered &&
 	    searcher->connections_most > 1)
 		searcher->connections_most--;
@@ -182,18 +182,18 @@
 	link->lost_us = 0;
 }
 
-static sub_reply_t *reply_of_end(const link_conn_t *conn, http_conn_end_t end)
+static sub_reply_t *reply_of_end(const link_conn_t *conn, http_conn_close_reason_t end)
 {
 	sub_reply_t *reply;
 
-	if (end == HTTP_CONN_REFUSED || end == HTTP_CONN_UNREACHED)
+	if (end == HTTP_CONN_REFUSED || end == HTTP_CONN_CONNECT_FAILED)
 		return sub_reply_new(SUB_NOT_SENT);
 	reply = sub_reply_new(SUB_UNKNOWN);
-	reply->broken = conn->opened && end != HTTP_CONN_GARBAGE;
+	reply->broken = conn->opened && end != HTTP_CONN_PROTOCOL_ERROR;
 	return reply;
 }
 
-static void on_ended(void *ctx, http_conn_end_t end)
+static void on_ended(void *ctx, http_conn_close_reason_t end)
 {
 	link_conn_t *conn = ctx;
 	link_t *link = conn->link;
--- a/src/tasks/platform_task.c
+++ b/src/tasks/platform_task.c
@@ -148,12 +148,12 @@
 
 static platform_reach_t reach_of(const http_call_t *http)
 {
-	switch (http_call_end(http)) {
-	case HTTP_END_REPLIED:
+	switch (http_call_result(http)) {
+	case HTTP_CALL_REPLIED:
 		return PLATFORM_REPLIED;
-	case HTTP_END_NOT_SENT:
+	case HTTP_CALL_NOT_SENT:
 		return PLATFORM_NOT_SENT;
-	case HTTP_END_CANCELLED:
+	case HTTP_CALL_CANCELLED:
 		return PLATFORM_SILENT;
 	default:
 		return PLATFORM_CUT;
@@ -217,8 +217,8 @@
 			       .port = task->port,
 			       .path = call->path,
 			       .headers = call->body ? "Content-Type: application/json\r\n" : NULL,
-			       .kept_header = STORE_ERA_HEADER,
-			       .idle_most_us = FEED_IDLE_MS * 1000,
+			       .reply_header = STORE_ERA_HEADER,
+			       .idle_max_us = FEED_IDLE_MS * 1000,
 			       .body = call->body,
 			       .body_bytes = call->body ? strlen(call->body) : 0,
 			       .finished = call_finished,
--- a/src/tasks/relay.c
+++ b/src/tasks/relay.c
@@ -17,7 +17,7 @@
 	relay->request = (forward_request_t){.id = headers.id,
 					     .host = headers.host,
 					     .target = http_message_target(message),
-					     .received_us = http_exchange_begun_us(exchange),
+					     .received_us = http_exchange_start_us(exchange),
 					     .patience_us = headers.patience_us};
 	relay->request.fingerprint = fingerprint_of(relay_head(relay), relay_body(relay));
 	return relay;
--- a/src/tasks/upstream_task.c
+++ b/src/tasks/upstream_task.c
@@ -92,10 +92,10 @@
 {
 	const GString *body = http_call_reply(call);
 
-	switch (http_call_end(call)) {
-	case HTTP_END_REPLIED:
+	switch (http_call_result(call)) {
+	case HTTP_CALL_REPLIED:
 		return reply_parse(http_call_status(call), body->str, body->len);
-	case HTTP_END_NOT_SENT:
+	case HTTP_CALL_NOT_SENT:
 		return reply_new(REPLY_NOT_SENT);
 	default:
 		return reply_new(REPLY_CUT);
@@ -251,7 +251,7 @@
 
 static probe_end_t probe_end_of(const http_call_t *call, const upstream_report_t *report)
 {
-	if (http_call_end(call) == HTTP_END_NOT_SENT)
+	if (http_call_result(call) == HTTP_CALL_NOT_SENT)
 		return PROBE_REFUSED;
 	return report ? PROBE_REPORTED : PROBE_SILENT;
 }
@@ -262,7 +262,7 @@
 	upstream_task_t *task = probe->task;
 	upstream_report_t *report = NULL;
 	const GString *body = http_call_reply(call);
-	bool replied = http_call_end(call) == HTTP_END_REPLIED;
+	bool replied = http_call_result(call) == HTTP_CALL_REPLIED;
 
 	loop_timer_cancel(&probe->timer);
 	probe->endpoint->probing = false;
--- a/src/tool/client.c
+++ b/src/tool/client.c
@@ -54,7 +54,7 @@
 	const GString *text = http_call_reply(call);
 
 	loop_timer_cancel(&running->timer);
-	if (http_call_end(call) == HTTP_END_REPLIED) {
+	if (http_call_result(call) == HTTP_CALL_REPLIED) {
 		running->status = http_call_status(call);
 		running->reply = json_loadb(text->str, text->len, JSON_DECODE_ANY, NULL);
 	}
--- a/standins/load.c
+++ b/standins/load.c
@@ -221,7 +221,7 @@
 	uint64_t now = loop_now_us(), latency_us = now - shot->due_us;
 	json_t *body = json_loadb(http_call_reply(call)->str, http_call_reply(call)->len, 0, NULL);
 
-	if (http_call_end(call) != HTTP_END_REPLIED) {
+	if (http_call_result(call) != HTTP_CALL_REPLIED) {
 		mix->cut++;
 	} else if (http_call_status(call) == 200) {
 		histogram_add(&mix->latency, latency_us);
@@ -253,7 +253,7 @@
 	load_t *load = shot->load;
 
 	shot->target->slots[shot->slot] = NULL;
-	if (http_call_end(call) == HTTP_END_NOT_SENT) {
+	if (http_call_result(call) == HTTP_CALL_NOT_SENT) {
 		/* As a balancer does: nothing was sent, so another VM may have it. */
 		shot->target->ready = false;
 		load->moved++;
@@ -395,7 +395,8 @@
 	target_vm_t *target = ctx;
 
 	target->probing = false;
-	target->ready = http_call_end(call) == HTTP_END_REPLIED && http_call_status(call) == 200;
+	target->ready =
+		http_call_result(call) == HTTP_CALL_REPLIED && http_call_status(call) == 200;
 }
 
 static void on_balancer(void *ctx)
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -298,9 +298,10 @@
 	platform.loop = loop_new();
 	platform.objects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, object_free);
 	if (!http_server_new(platform.loop, platform.address, (uint16_t)platform.port,
-			     &HTTP_SERVER_OWN_LIMITS(VALUE_LIMIT_BYTES), &ops, &platform) ||
+			     &HTTP_SERVER_INTERNAL_LIMITS(VALUE_LIMIT_BYTES), &ops, &platform) ||
 	    !http_server_new(platform.loop, platform.address, (uint16_t)platform.control_port,
-			     &HTTP_SERVER_OWN_LIMITS(VALUE_LIMIT_BYTES), &control, &platform)) {
+			     &HTTP_SERVER_INTERNAL_LIMITS(VALUE_LIMIT_BYTES), &control,
+			     &platform)) {
 		g_printerr("platform: cannot listen on port %d or %d\n", platform.port,
 			   platform.control_port);
 		return 1;
--- a/standins/proxy.c
+++ b/standins/proxy.c
@@ -105,7 +105,7 @@
 	loop_timer_set(pipe->proxy->loop, &piece->timer, DELAY_US);
 }
 
-static void on_ended(void *ctx, sock_end_t end)
+static void on_ended(void *ctx, sock_close_reason_t end)
 {
 	side_t *side = ctx;
 	pipe_t *pipe = side->pipe;
@@ -193,7 +193,7 @@
 
 	proxy.loop = loop_new();
 	if (argc < 3 || !http_server_new(proxy.loop, "127.0.0.1", (uint16_t)atoi(argv[1]),
-					 &HTTP_SERVER_OWN_LIMITS(0), &control, &proxy)) {
+					 &HTTP_SERVER_INTERNAL_LIMITS(0), &control, &proxy)) {
 		g_printerr("usage: standin-proxy CONTROL LISTEN:TARGET...\n");
 		return 2;
 	}
--- a/standins/searcher.c
+++ b/standins/searcher.c
@@ -503,10 +503,10 @@
 	searcher.loop = loop_new();
 	searcher.server =
 		http_server_new(searcher.loop, searcher.address, (uint16_t)searcher.port,
-				&HTTP_SERVER_OWN_LIMITS(BODY_LIMIT_BYTES), &ops, &searcher);
+				&HTTP_SERVER_INTERNAL_LIMITS(BODY_LIMIT_BYTES), &ops, &searcher);
 	if (!searcher.server ||
 	    !http_server_new(searcher.loop, searcher.address, (uint16_t)searcher.control_port,
-			     &HTTP_SERVER_OWN_LIMITS(BODY_LIMIT_BYTES), &control, &searcher)) {
+			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_LIMIT_BYTES), &control, &searcher)) {
 		g_printerr("%s: cannot listen on port %d or %d\n", searcher.name, searcher.port,
 			   searcher.control_port);
 		return 1;
--- a/standins/users_platform.c
+++ b/standins/users_platform.c
@@ -331,7 +331,7 @@
 		http_exchange_reply(exchange, 503, NULL, "", 0);
 		break;
 	case DOOR_RESET:
-		http_exchange_cut(exchange);
+		http_exchange_abort(exchange);
 		break;
 	case DOOR_SILENT:
 		if (door->swallow_from_us && loop_now_us() >= door->swallow_from_us &&
@@ -474,7 +474,7 @@
 	searcher->server = NULL;
 	loop_timer_set(searcher->users->loop, &searcher->back,
 		       (uint64_t)searcher->users->back_ms * 1000);
-	http_server_end(server);
+	http_server_free(server);
 }
 
 static void answer(void *ctx)
@@ -491,7 +491,7 @@
 		return;
 	}
 	if (exchange && searcher->manner == MANNER_CUT) {
-		http_exchange_cut(exchange);
+		http_exchange_abort(exchange);
 		return;
 	}
 	if (exchange) {
@@ -573,7 +573,7 @@
 	searcher->cold_ms = COLD_MS;
 	loop_timer_set(searcher->users->loop, &searcher->back,
 		       (uint64_t)searcher->users->back_ms * 1000);
-	http_server_end(server);
+	http_server_free(server);
 }
 
 static void on_searcher(void *ctx, http_exchange_t *exchange)
@@ -626,7 +626,7 @@
 
 	searcher->server =
 		http_server_new(searcher->users->loop, "127.0.0.1", (uint16_t)searcher->port,
-				&HTTP_SERVER_OWN_LIMITS(BODY_MOST_BYTES), &ops, searcher);
+				&HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES), &ops, searcher);
 	return searcher->server != NULL;
 }
 
@@ -925,12 +925,13 @@
 	users.searchers = g_ptr_array_new();
 	if (users.shards > SHARDS_MOST ||
 	    !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.store_port,
-			     &HTTP_SERVER_OWN_LIMITS(BODY_MOST_BYTES), &store, &users.doors[0]) ||
-	    (users.side_port &&
-	     !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.side_port,
-			      &HTTP_SERVER_OWN_LIMITS(BODY_MOST_BYTES), &store, &users.doors[1])) ||
+			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES), &store,
+			     &users.doors[0]) ||
+	    (users.side_port && !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.side_port,
+						 &HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES),
+						 &store, &users.doors[1])) ||
 	    !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.control_port,
-			     &HTTP_SERVER_OWN_LIMITS(BODY_MOST_BYTES), &control, &users) ||
+			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES), &control, &users) ||
 	    !start_searchers(&users)) {
 		g_printerr("users-platform: cannot listen\n");
 		return 1;
--- a/tests/message_test.c
+++ b/tests/message_test.c
@@ -25,9 +25,9 @@
 
 #define REQUEST HTTP_MESSAGE_REQUEST
 #define REPLY HTTP_MESSAGE_REPLY
-#define WHOLE HTTP_MESSAGE_WHOLE
-#define BAD HTTP_MESSAGE_BAD
-#define MORE HTTP_MESSAGE_MORE
+#define WHOLE HTTP_MESSAGE_COMPLETE
+#define BAD HTTP_MESSAGE_INVALID
+#define MORE HTTP_MESSAGE_INCOMPLETE
 
 static const message_case_t cases[] = {
 	{"no body", REQUEST, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n", WHOLE, "", true},
@@ -171,7 +171,7 @@
 
 	(void)state;
 	http_message_feed(message, text, strlen(text));
-	assert_int_equal(http_message_header_times(message, "X-OWN"), 2);
+	assert_int_equal(http_message_header_occurrences(message, "X-OWN"), 2);
 	assert_string_equal(http_message_header(message, "x-own"), "1");
 	assert_string_equal(http_message_header_at(message, 1).value, "2");
 	assert_null(http_message_header(message, "Own"));
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -19,7 +19,7 @@
 	http_message_t *message = http_message_new(kind, limits);
 
 	http_message_feed(message, text, strlen(text));
-	assert_int_equal(http_message_state(message), HTTP_MESSAGE_WHOLE);
+	assert_int_equal(http_message_state(message), HTTP_MESSAGE_COMPLETE);
 	return message;
 }
 
