--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -9,11 +9,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Replies larger than any that the deployments' searchers or store send (1 MB and its framing). */
+/* Reply limits, above the largest reply of the deployments' searchers and store (1 MB and its
+ * framing). */
 #define REPLY_BODY_MAX_BYTES (8u << 20)
 #define REPLY_HEAD_MAX_BYTES (64u << 10)
-/* A request sent so late in the peer's idle time could cross its close: a round trip between
- * regions and a busy turn of the loop, with room. */
+/* An idle connection isn't reused in this last part of the peer's idle time-out, because the
+ * request could cross the peer's close. Covers a round trip between regions and a busy loop
+ * iteration, with a margin. */
 #define IDLE_MARGIN_US 700000
 
 struct http_conn_t {
@@ -21,10 +23,10 @@
 	const http_conn_ops_t *ops;
 	void *ctx;
 	http_message_t *reply;
-	bool busy; /* a request is out */
+	bool busy; /* a request is outstanding */
 	bool in_callback;
-	bool ended;	   /* freed when the callback returns */
-	uint64_t stale_us; /* when an idle connection may be closed by the peer; 0: not told */
+	bool ended;	   /* closed; freed when the current callback returns */
+	uint64_t stale_us; /* when the peer may close the idle connection; 0: unknown */
 };
 
 static void conn_free(http_conn_t *conn)
@@ -43,13 +45,13 @@
 		conn_free(conn);
 }
 
-static void end(http_conn_t *conn, http_conn_close_reason_t how)
+static void close_and_report(http_conn_t *conn, http_conn_close_reason_t reason)
 {
 	http_conn_close(conn);
-	conn->ops->ended(conn->ctx, how);
+	conn->ops->ended(conn->ctx, reason);
 }
 
-/* "timeout=5, max=100" in whole seconds. */
+/* Reads the idle time-out from a Keep-Alive header such as "timeout=5, max=100" (seconds). */
 static void update_stale_time(http_conn_t *conn)
 {
 	const char *text = http_message_header(conn->reply, "Keep-Alive");
@@ -63,9 +65,9 @@
 	conn->stale_us = loop_now_us() + (idle_us > IDLE_MARGIN_US ? idle_us - IDLE_MARGIN_US : 0);
 }
 
-static void take_reply(http_conn_t *conn, bool more_bytes)
+static void finish_reply(http_conn_t *conn, bool more_bytes)
 {
-	/* Unsent bytes of the request would be read as the start of the next one. */
+	/* The peer would read unsent bytes of this request as the start of the next request. */
 	bool reusable =
 		!more_bytes && sock_is_flushed(conn->sock) && http_message_keeps_alive(conn->reply);
 
@@ -89,21 +91,21 @@
 static void on_received(void *ctx, const char *data, size_t bytes)
 {
 	http_conn_t *conn = ctx;
-	size_t taken;
+	size_t consumed;
 
 	conn->in_callback = true;
 	if (!conn->busy) {
-		end(conn, HTTP_CONN_PROTOCOL_ERROR);
+		close_and_report(conn, HTTP_CONN_PROTOCOL_ERROR);
 	} else {
-		taken = http_message_feed(conn->reply, data, bytes);
+		consumed = http_message_feed(conn->reply, data, bytes);
 		switch (http_message_state(conn->reply)) {
 		case HTTP_MESSAGE_INCOMPLETE:
 			break;
 		case HTTP_MESSAGE_COMPLETE:
-			take_reply(conn, taken < bytes);
+			finish_reply(conn, consumed < bytes);
 			break;
 		default:
-			end(conn, HTTP_CONN_PROTOCOL_ERROR);
+			close_and_report(conn, HTTP_CONN_PROTOCOL_ERROR);
 		}
 	}
 	conn->in_callback = false;
@@ -111,28 +113,28 @@
 		conn_free(conn);
 }
 
-static http_conn_close_reason_t end_of(sock_close_reason_t how)
+static http_conn_close_reason_t to_close_reason(sock_close_reason_t reason)
 {
-	static const http_conn_close_reason_t ends[] = {[SOCK_CLOSED] = HTTP_CONN_CLOSED,
-							[SOCK_RESET] = HTTP_CONN_RESET,
-							[SOCK_REFUSED] = HTTP_CONN_REFUSED,
-							[SOCK_CONNECT_FAILED] =
-								HTTP_CONN_CONNECT_FAILED};
+	static const http_conn_close_reason_t reasons[] = {[SOCK_CLOSED] = HTTP_CONN_CLOSED,
+							   [SOCK_RESET] = HTTP_CONN_RESET,
+							   [SOCK_REFUSED] = HTTP_CONN_REFUSED,
+							   [SOCK_CONNECT_FAILED] =
+								   HTTP_CONN_CONNECT_FAILED};
 
-	return ends[how];
+	return reasons[reason];
 }
 
-static void on_ended(void *ctx, sock_close_reason_t how)
+static void on_ended(void *ctx, sock_close_reason_t reason)
 {
 	http_conn_t *conn = ctx;
 
 	conn->in_callback = true;
-	if (how == SOCK_CLOSED && conn->busy && http_message_has_head(conn->reply))
+	if (reason == SOCK_CLOSED && conn->busy && http_message_has_head(conn->reply))
 		http_message_feed_end(conn->reply);
 	if (conn->busy && http_message_state(conn->reply) == HTTP_MESSAGE_COMPLETE) {
-		take_reply(conn, true);
+		finish_reply(conn, true);
 	} else if (!conn->ended) {
-		end(conn, end_of(how));
+		close_and_report(conn, to_close_reason(reason));
 	}
 	conn_free(conn);
 }
