--- a/src/net/http_exchange.c
+++ b/src/net/http_exchange.c
@@ -1,6 +1,6 @@
 /**
  * @file http_exchange.c
- * What a request says, and the headers of its reply. See http_server.h.
+ * Access to the fields of a request, and the headers of its reply. See http_server.h.
  */
 #include "net/http_exchange_private.h"
 
@@ -19,8 +19,8 @@
 	g_free(exchange->path);
 	if (exchange->params)
 		g_hash_table_unref(exchange->params);
-	if (exchange->joined)
-		g_ptr_array_unref(exchange->joined);
+	if (exchange->joined_values)
+		g_ptr_array_unref(exchange->joined_values);
 	if (exchange->reply_headers)
 		g_string_free(exchange->reply_headers, TRUE);
 	http_message_free(exchange->message);
@@ -49,29 +49,29 @@
 	if (exchange->path)
 		return exchange->path;
 	exchange->path = g_uri_unescape_segment(target, target + path_bytes(target), NULL);
-	if (!exchange->path) /* a NUL or a broken escape: no path of ours */
+	if (!exchange->path) /* a NUL or an invalid escape: matches no path of the server */
 		exchange->path = g_strdup("");
 	return exchange->path;
 }
 
 const char *http_exchange_header(http_exchange_t *exchange, const char *name)
 {
-	GString *all;
+	GString *values;
 
 	if (http_message_header_occurrences(exchange->message, name) < 2)
 		return http_message_header(exchange->message, name);
-	all = g_string_new(NULL);
+	values = g_string_new(NULL);
 	for (size_t i = 0; i < http_message_header_count(exchange->message); i++) {
 		http_header_t header = http_message_header_at(exchange->message, i);
 
 		if (g_ascii_strcasecmp(header.name, name))
 			continue;
-		g_string_append_printf(all, "%s%s", all->len ? "," : "", header.value);
+		g_string_append_printf(values, "%s%s", values->len ? "," : "", header.value);
 	}
-	if (!exchange->joined)
-		exchange->joined = g_ptr_array_new_with_free_func(g_free);
-	g_ptr_array_add(exchange->joined, g_string_free(all, FALSE));
-	return g_ptr_array_index(exchange->joined, exchange->joined->len - 1);
+	if (!exchange->joined_values)
+		exchange->joined_values = g_ptr_array_new_with_free_func(g_free);
+	g_ptr_array_add(exchange->joined_values, g_string_free(values, FALSE));
+	return g_ptr_array_index(exchange->joined_values, exchange->joined_values->len - 1);
 }
 
 const char *http_exchange_param(http_exchange_t *exchange, const char *name)
@@ -82,7 +82,7 @@
 	if (!exchange->params)
 		exchange->params = g_uri_parse_params(*query == '?' ? query + 1 : "", -1, "&",
 						      G_URI_PARAMS_WWW_FORM, NULL);
-	if (!exchange->params) /* a broken escape: no parameter is taken from such a query */
+	if (!exchange->params) /* an invalid escape: no parameters */
 		exchange->params = g_hash_table_new(g_str_hash, g_str_equal);
 	return g_hash_table_lookup(exchange->params, name);
 }
@@ -99,7 +99,7 @@
 
 uint64_t http_exchange_start_us(const http_exchange_t *exchange)
 {
-	return exchange->begun_us;
+	return exchange->start_us;
 }
 
 void http_exchange_set_data(http_exchange_t *exchange, void *data)
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -187,7 +187,7 @@
 	exchange->connection = connection;
 	exchange->message = connection->message;
 	exchange->serial = connection->serial;
-	exchange->begun_us = connection->since_us;
+	exchange->start_us = connection->since_us;
 	connection->message = http_message_new(HTTP_MESSAGE_REQUEST, server->limits.message);
 	connection->exchange = exchange;
 	server->open_exchanges++;
