--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -1,6 +1,6 @@
 /**
  * @file http_message.c
- * See http_message.h. http-parser's header and that of libwebsockets clash, so this file includes
+ * See http_message.h. The headers of http-parser and libwebsockets conflict, so this file includes
  * only the former.
  */
 #include "net/http_message.h"
@@ -8,39 +8,39 @@
 #include <http_parser.h>
 #include <string.h>
 
-/* Lines of headers taken; more than any caller of ours sends. */
+/* Maximum header lines; more than any of the service's callers sends. */
 #define HEADERS_MAX 100
 
-/* Where a text starts in `text`; offsets, because the buffer moves as it grows. */
+/* Offsets of a header's name and value in `text`, whose buffer moves as it grows. */
 typedef struct header_offsets_t {
 	uint32_t name;
 	uint32_t value;
 } header_offsets_t;
 
-/* The head's bytes as they pass, to refuse what http-parser lets through. */
+/* State of a scan over the head's bytes, which rejects faults that http-parser accepts. */
 typedef struct head_scan_t {
 	size_t bytes;
-	size_t line_bytes; /* of the line so far, without its end */
-	char before;
+	size_t line_bytes; /* of the current line so far, without its line end */
+	char previous;
 	bool in_head;
-	bool any_line;
+	bool has_line;
 } head_scan_t;
 
-/* Where the bytes of a body in chunks are; http-parser, as it is built here, takes any two bytes
- * for the end of a chunk, and a parser behind us would see other requests than we do. */
+/* State of a scan over a chunked body. http-parser, as it is built here, accepts any two bytes as
+ * the end of a chunk, so a parser further on would see other requests than this one. */
 typedef enum chunk_state_t {
 	CHUNK_SIZE,	 /* hexadecimal digits */
-	CHUNK_EXTENSION, /* what may follow the size */
+	CHUNK_EXTENSION, /* optional, after the size */
 	CHUNK_SIZE_LF,
 	CHUNK_DATA,
 	CHUNK_DATA_CR,
 	CHUNK_DATA_LF,
-	CHUNK_TRAILER, /* lines after the last chunk; the parser finds their end */
+	CHUNK_TRAILER, /* lines after the last chunk; http-parser finds their end */
 } chunk_state_t;
 
 typedef struct chunk_scan_t {
-	chunk_state_t place;
-	uint64_t left; /* of the chunk */
+	chunk_state_t state;
+	uint64_t left; /* remaining bytes of the chunk */
 	uint32_t digits;
 } chunk_scan_t;
 
@@ -52,7 +52,7 @@
 	head_scan_t scan;
 	chunk_scan_t chunks;
 	bool is_chunked;
-	GString *text; /* NUL-ended texts: the target, then names and values */
+	GString *text; /* NUL-terminated strings: the target, then names and values */
 	header_offsets_t headers[HEADERS_MAX];
 	uint32_t header_count;
 	bool in_value;
@@ -72,7 +72,7 @@
 	return 0;
 }
 
-/* Spaces after a value are not part of it. */
+/* Removes trailing spaces, which are not part of a value. */
 static void end_value(http_message_t *message)
 {
 	GString *text = message->text;
@@ -85,7 +85,7 @@
 {
 	http_message_t *message = message_of(parser);
 
-	if (message->has_head) /* trailers are not headers */
+	if (message->has_head) /* trailers are not headers: ignored */
 		return 0;
 	if (memchr(at, ' ', length) || memchr(at, '\t', length))
 		return -1;
@@ -125,7 +125,7 @@
 	end_value(message);
 	if (parser->http_major != 1)
 		return -1;
-	/* An offer to switch protocols is not taken; the request is served as it is. */
+	/* A request to upgrade the protocol is ignored and served as an ordinary request. */
 	parser->upgrade = 0;
 	if (parser->content_length != UINT64_MAX &&
 	    parser->content_length > message->limits.body_bytes) {
@@ -204,34 +204,34 @@
 	message->no_body = true;
 }
 
-/* False when the head holds what another parser might read differently. */
+/* Returns false when another parser might read the head differently. */
 static bool scan_byte(head_scan_t *scan, char byte)
 {
-	char before = scan->before;
+	char previous = scan->previous;
 
-	scan->before = byte;
+	scan->previous = byte;
 	scan->bytes++;
-	if (before == '\r' && byte != '\n')
+	if (previous == '\r' && byte != '\n')
 		return false;
 	if (byte == '\r')
 		return true;
 	if (byte != '\n') {
 		bool folded =
-			scan->line_bytes == 0 && scan->any_line && (byte == ' ' || byte == '\t');
+			scan->line_bytes == 0 && scan->has_line && (byte == ' ' || byte == '\t');
 
 		scan->line_bytes++;
 		return !folded;
 	}
-	if (before != '\r')
+	if (previous != '\r')
 		return false;
-	if (scan->line_bytes == 0 && scan->any_line)
+	if (scan->line_bytes == 0 && scan->has_line)
 		scan->in_head = false;
-	scan->any_line = scan->any_line || scan->line_bytes > 0;
+	scan->has_line = scan->has_line || scan->line_bytes > 0;
 	scan->line_bytes = 0;
 	return true;
 }
 
-/* How many bytes of @p data belong to the head; sets the state when they are refused. */
+/* Returns how many bytes of @p data belong to the head; sets the state when they are invalid. */
 static size_t scan_head(http_message_t *message, const char *data, size_t bytes)
 {
 	size_t i = 0;
@@ -249,17 +249,17 @@
 	return i;
 }
 
-/* True while @p byte may stand in the line of a chunk's size. */
+/* Returns whether @p byte is valid in the line of a chunk's size. */
 static bool scan_size(chunk_scan_t *chunks, char byte)
 {
 	if (byte == '\r' && chunks->digits) {
-		chunks->place = CHUNK_SIZE_LF;
+		chunks->state = CHUNK_SIZE_LF;
 		return true;
 	}
-	if (chunks->place == CHUNK_EXTENSION)
+	if (chunks->state == CHUNK_EXTENSION)
 		return byte != '\n' && byte != '\r';
 	if (byte == ';' && chunks->digits) {
-		chunks->place = CHUNK_EXTENSION;
+		chunks->state = CHUNK_EXTENSION;
 		return true;
 	}
 	if (!g_ascii_isxdigit(byte) || ++chunks->digits > 2 * sizeof(chunks->left))
@@ -270,22 +270,22 @@
 
 static bool scan_chunk_byte(chunk_scan_t *chunks, char byte)
 {
-	switch (chunks->place) {
+	switch (chunks->state) {
 	case CHUNK_SIZE:
 	case CHUNK_EXTENSION:
 		return scan_size(chunks, byte);
 	case CHUNK_SIZE_LF:
-		chunks->place = chunks->left ? CHUNK_DATA : CHUNK_TRAILER;
+		chunks->state = chunks->left ? CHUNK_DATA : CHUNK_TRAILER;
 		return byte == '\n';
 	case CHUNK_DATA:
 		if (--chunks->left == 0)
-			chunks->place = CHUNK_DATA_CR;
+			chunks->state = CHUNK_DATA_CR;
 		return true;
 	case CHUNK_DATA_CR:
-		chunks->place = CHUNK_DATA_LF;
+		chunks->state = CHUNK_DATA_LF;
 		return byte == '\r';
 	case CHUNK_DATA_LF:
-		*chunks = (chunk_scan_t){.place = CHUNK_SIZE};
+		*chunks = (chunk_scan_t){.state = CHUNK_SIZE};
 		return byte == '\n';
 	case CHUNK_TRAILER:
 		return true;
@@ -295,7 +295,7 @@
 
 static bool scan_chunks(chunk_scan_t *chunks, const char *data, size_t bytes)
 {
-	for (size_t i = 0; i < bytes && chunks->place != CHUNK_TRAILER; i++)
+	for (size_t i = 0; i < bytes && chunks->state != CHUNK_TRAILER; i++)
 		if (!scan_chunk_byte(chunks, data[i]))
 			return false;
 	return true;
@@ -303,15 +303,15 @@
 
 static size_t parse(http_message_t *message, const char *data, size_t bytes)
 {
-	size_t taken = http_parser_execute(&message->parser, &callbacks, data, bytes);
+	size_t consumed = http_parser_execute(&message->parser, &callbacks, data, bytes);
 
 	if (message->state == HTTP_MESSAGE_INCOMPLETE &&
 	    HTTP_PARSER_ERRNO(&message->parser) != HPE_OK)
 		message->state = HTTP_MESSAGE_INVALID;
-	return taken;
+	return consumed;
 }
 
-/* Replies of the 100 range are announcements; the reply itself follows. */
+/* Whether the reply is interim (status 1xx); the final reply follows it. */
 static bool is_interim(const http_message_t *message)
 {
 	return message->state == HTTP_MESSAGE_COMPLETE && message->kind == HTTP_MESSAGE_REPLY &&
@@ -320,18 +320,19 @@
 
 size_t http_message_feed(http_message_t *message, const char *data, size_t bytes)
 {
-	size_t taken = 0;
+	size_t consumed = 0;
 
-	while (taken < bytes && message->state == HTTP_MESSAGE_INCOMPLETE) {
-		size_t part = bytes - taken;
+	while (consumed < bytes && message->state == HTTP_MESSAGE_INCOMPLETE) {
+		size_t length = bytes - consumed;
 
 		if (message->scan.in_head)
-			part = scan_head(message, data + taken, part);
-		else if (message->is_chunked && !scan_chunks(&message->chunks, data + taken, part))
+			length = scan_head(message, data + consumed, length);
+		else if (message->is_chunked &&
+			 !scan_chunks(&message->chunks, data + consumed, length))
 			message->state = HTTP_MESSAGE_INVALID;
 		if (message->state != HTTP_MESSAGE_INCOMPLETE)
-			return taken;
-		taken += parse(message, data + taken, part);
+			return consumed;
+		consumed += parse(message, data + consumed, length);
 		if (is_interim(message)) {
 			bool no_body = message->no_body;
 
@@ -339,7 +340,7 @@
 			message->no_body = no_body;
 		}
 	}
-	return taken;
+	return consumed;
 }
 
 void http_message_feed_end(http_message_t *message)
@@ -392,10 +393,10 @@
 
 http_header_t http_message_header_at(const http_message_t *message, size_t index)
 {
-	const header_offsets_t *place = &message->headers[index];
+	const header_offsets_t *offsets = &message->headers[index];
 
-	return (http_header_t){.name = message->text->str + place->name,
-			       .value = message->text->str + place->value};
+	return (http_header_t){.name = message->text->str + offsets->name,
+			       .value = message->text->str + offsets->value};
 }
 
 const char *http_message_header(const http_message_t *message, const char *name)
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,10 +1,10 @@
 /**
  * @file http_message.h
- * One HTTP/1.1 request or reply, taken in byte by byte and checked strictly.
+ * Incremental, strict parser for one HTTP/1.1 request or reply.
  *
- * http-parser does the parsing. Refused besides, because two parsers that read them differently see
- * different requests on one connection: obsolete line folding, bare CR or LF, spaces in a header's
- * name.
+ * http-parser does the parsing. This module also rejects obsolete line folding, bare CR or LF, and
+ * spaces in a header's name: two parsers that read these differently see different requests on one
+ * connection.
  */
 #ifndef DS_HTTP_MESSAGE_H
 #define DS_HTTP_MESSAGE_H
@@ -17,14 +17,14 @@
 typedef enum http_message_kind_t { HTTP_MESSAGE_REQUEST, HTTP_MESSAGE_REPLY } http_message_kind_t;
 
 typedef enum http_message_state_t {
-	HTTP_MESSAGE_INCOMPLETE, /**< not whole yet */
-	HTTP_MESSAGE_COMPLETE,	 /**< whole; bytes after it were not taken */
-	HTTP_MESSAGE_INVALID,	 /**< not HTTP/1.1, or framed in a way that can't be trusted */
+	HTTP_MESSAGE_INCOMPLETE, /**< more bytes are needed */
+	HTTP_MESSAGE_COMPLETE,	 /**< complete; bytes after it were not consumed */
+	HTTP_MESSAGE_INVALID,	 /**< not HTTP/1.1, or its framing can't be trusted */
 	HTTP_MESSAGE_HEAD_TOO_LARGE,
 	HTTP_MESSAGE_BODY_TOO_LARGE,
 } http_message_state_t;
 
-/** One header line; both texts are owned by the message. */
+/** One header line; the message owns both strings. */
 typedef struct http_header_t {
 	const char *name;
 	const char *value;
@@ -32,7 +32,7 @@
 
 typedef struct http_message_t http_message_t;
 
-/** What a message may hold. */
+/** Maximum sizes of a message. */
 typedef struct http_message_limits_t {
 	size_t head_bytes;
 	size_t body_bytes;
@@ -40,31 +40,32 @@
 
 http_message_t *http_message_new(http_message_kind_t kind, http_message_limits_t limits);
 void http_message_free(http_message_t *message);
-/** Make ready for the next message; what was taken in is dropped. */
+/** Discard the parsed content and prepare for the next message. */
 void http_message_reset(http_message_t *message);
-/** The reply to come answers a HEAD request: it has no body, whatever its headers say. */
+/** The next reply answers a HEAD request: it has no body, whatever its headers say. */
 void http_message_expect_no_body(http_message_t *message);
-/** Take in bytes; returns how many were taken: all of them unless the state is no longer MORE. */
+/** Parse bytes; returns the number consumed: all of them while the state stays
+ * HTTP_MESSAGE_INCOMPLETE. */
 size_t http_message_feed(http_message_t *message, const char *data, size_t bytes);
-/** The connection was closed in order: a reply without a length is whole by it. */
+/** The connection was closed cleanly; this completes a reply without a length. */
 void http_message_feed_end(http_message_t *message);
 
 http_message_state_t http_message_state(const http_message_t *message);
-/** Whether any byte was taken in since the last reset. */
+/** Whether any byte was consumed since the last reset. */
 bool http_message_started(const http_message_t *message);
-/** Whether the head is whole. */
+/** Whether the head is complete. */
 bool http_message_has_head(const http_message_t *message);
 /** Whether the connection may carry another message after this one. */
 bool http_message_keeps_alive(const http_message_t *message);
 const char *http_message_method(const http_message_t *message);
-/** The request's target as it was sent. */
+/** The request's target, undecoded. */
 const char *http_message_target(const http_message_t *message);
 int http_message_status(const http_message_t *message);
 size_t http_message_header_count(const http_message_t *message);
 http_header_t http_message_header_at(const http_message_t *message, size_t index);
-/** The first value of a header, by its name in any case; NULL when there is none. */
+/** The first value of a header, or NULL; @p name is case-insensitive. */
 const char *http_message_header(const http_message_t *message, const char *name);
-/** How often a header is given. */
+/** The number of header lines with this name. */
 size_t http_message_header_occurrences(const http_message_t *message, const char *name);
 const GString *http_message_body(const http_message_t *message);
 
