--- a/src/net/http_pool.c
+++ b/src/net/http_pool.c
@@ -11,7 +11,7 @@
 
 struct http_pool_t {
 	loop_t *loop;
-	GHashTable *lanes; /* "address:port#slot" to pool_entry_t */
+	GHashTable *entries; /* "address:port#slot" to pool_entry_t */
 	uint32_t slots;
 };
 
@@ -24,17 +24,17 @@
 } pool_entry_t;
 
 struct http_call_t {
-	pool_entry_t *lane;
+	pool_entry_t *entry;
 	GString *head;
 	GString *reply;
-	char *reply_header; /* its name */
-	char *header;	    /* its value; NULL when there is none */
+	char *reply_header; /* name of the reply header to keep */
+	char *header_value; /* value of that header; NULL when the reply has none */
 	void (*finished)(void *ctx, http_call_t *call);
 	void *ctx;
 	int status;
-	http_call_result_t end;
+	http_call_result_t result;
 	bool ended;
-	bool keep;
+	bool keep_alive;
 };
 
 static void deliver_call(void *task, void *message)
@@ -46,50 +46,51 @@
 	g_string_free(call->head, TRUE);
 	g_string_free(call->reply, TRUE);
 	g_free(call->reply_header);
-	g_free(call->header);
+	g_free(call->header_value);
 	g_free(call);
 }
 
-/* The end is told from the loop, after the connection's own callback has returned. */
-static void call_end(http_call_t *call, http_call_result_t end)
+/* The loop calls `finished` later, after the connection's callback has returned. */
+static void finish_call(http_call_t *call, http_call_result_t result)
 {
 	if (call->ended)
 		return;
 	call->ended = true;
-	call->end = end;
-	call->lane->call = NULL;
-	call->lane->idle_since_us = loop_now_us();
-	loop_post(call->lane->pool->loop, deliver_call, NULL, call);
+	call->result = result;
+	call->entry->call = NULL;
+	call->entry->idle_since_us = loop_now_us();
+	loop_post(call->entry->pool->loop, deliver_call, NULL, call);
 }
 
 static void on_replied(void *ctx, const http_message_t *reply, bool reusable)
 {
-	pool_entry_t *lane = ctx;
-	http_call_t *call = lane->call;
+	pool_entry_t *entry = ctx;
+	http_call_t *call = entry->call;
 	const GString *body = http_message_body(reply);
 
 	if (!reusable)
-		lane->conn = NULL;
+		entry->conn = NULL;
 	call->status = http_message_status(reply);
 	if (call->reply_header)
-		call->header = g_strdup(http_message_header(reply, call->reply_header));
+		call->header_value = g_strdup(http_message_header(reply, call->reply_header));
 	g_string_append_len(call->reply, body->str, (gssize)body->len);
-	if (reusable && !call->keep) {
-		http_conn_close(lane->conn);
-		lane->conn = NULL;
+	if (reusable && !call->keep_alive) {
+		http_conn_close(entry->conn);
+		entry->conn = NULL;
 	}
-	call_end(call, HTTP_CALL_REPLIED);
+	finish_call(call, HTTP_CALL_REPLIED);
 }
 
-static void on_ended(void *ctx, http_conn_close_reason_t end)
+static void on_ended(void *ctx, http_conn_close_reason_t reason)
 {
-	pool_entry_t *lane = ctx;
-
-	lane->conn = NULL;
-	if (lane->call)
-		call_end(lane->call, end == HTTP_CONN_REFUSED || end == HTTP_CONN_CONNECT_FAILED
-					     ? HTTP_CALL_NOT_SENT
-					     : HTTP_CALL_CONNECTION_LOST);
+	pool_entry_t *entry = ctx;
+
+	entry->conn = NULL;
+	if (entry->call)
+		finish_call(entry->call,
+			    reason == HTTP_CONN_REFUSED || reason == HTTP_CONN_CONNECT_FAILED
+				    ? HTTP_CALL_NOT_SENT
+				    : HTTP_CALL_CONNECTION_LOST);
 }
 
 static const http_conn_ops_t entry_ops = {.replied = on_replied, .ended = on_ended};
@@ -100,7 +101,7 @@
 
 	pool->loop = loop;
 	pool->slots = slots;
-	pool->lanes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	pool->entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return pool;
 }
 
@@ -108,16 +109,16 @@
 				       const http_request_t *request)
 {
 	char key[64];
-	pool_entry_t *lane;
+	pool_entry_t *entry;
 
 	snprintf(key, sizeof(key), "%s:%u#%u", request->address, request->port, slot);
-	lane = g_hash_table_lookup(pool->lanes, key);
-	if (lane)
-		return lane;
-	lane = g_new0(pool_entry_t, 1);
-	lane->pool = pool;
-	g_hash_table_insert(pool->lanes, g_strdup(key), lane);
-	return lane;
+	entry = g_hash_table_lookup(pool->entries, key);
+	if (entry)
+		return entry;
+	entry = g_new0(pool_entry_t, 1);
+	entry->pool = pool;
+	g_hash_table_insert(pool->entries, g_strdup(key), entry);
+	return entry;
 }
 
 static void append_request_head(GString *head, const http_request_t *request)
@@ -131,60 +132,61 @@
 	g_string_append(head, "\r\n");
 }
 
-static void open_connection(pool_entry_t *lane, const http_request_t *request)
+static void open_connection(pool_entry_t *entry, const http_request_t *request)
 {
 	uint64_t now_us = loop_now_us();
-	bool idle = request->idle_max_us && now_us > lane->idle_since_us + request->idle_max_us;
-	bool stale = lane->conn && (idle || http_conn_is_stale(lane->conn, now_us));
+	bool idle_too_long =
+		request->idle_max_us && now_us > entry->idle_since_us + request->idle_max_us;
+	bool stale = entry->conn && (idle_too_long || http_conn_is_stale(entry->conn, now_us));
 
-	if (lane->conn && (request->fresh_connection || stale)) {
-		http_conn_close(lane->conn);
-		lane->conn = NULL;
+	if (entry->conn && (request->fresh_connection || stale)) {
+		http_conn_close(entry->conn);
+		entry->conn = NULL;
 	}
-	if (!lane->conn)
-		lane->conn = http_conn_open(lane->pool->loop, request->address, request->port,
-					    &entry_ops, lane);
+	if (!entry->conn)
+		entry->conn = http_conn_open(entry->pool->loop, request->address, request->port,
+					     &entry_ops, entry);
 }
 
 http_call_t *http_pool_start(http_pool_t *pool, uint32_t slot, const http_request_t *request)
 {
 	http_call_t *call = g_new0(http_call_t, 1);
-	pool_entry_t *lane = find_or_add_entry(pool, slot, request);
+	pool_entry_t *entry = find_or_add_entry(pool, slot, request);
 
-	g_return_val_if_fail(!lane->call && slot < pool->slots, NULL);
-	call->lane = lane;
+	g_return_val_if_fail(!entry->call && slot < pool->slots, NULL);
+	call->entry = entry;
 	call->head = g_string_sized_new(256);
 	call->reply = g_string_new(NULL);
 	call->reply_header = g_strdup(request->reply_header);
 	call->finished = request->finished;
 	call->ctx = request->ctx;
-	call->keep = !request->fresh_connection;
-	lane->call = call;
-	open_connection(lane, request);
-	if (!lane->conn) {
-		call_end(call, HTTP_CALL_NOT_SENT);
+	call->keep_alive = !request->fresh_connection;
+	entry->call = call;
+	open_connection(entry, request);
+	if (!entry->conn) {
+		finish_call(call, HTTP_CALL_NOT_SENT);
 		return call;
 	}
 	append_request_head(call->head, request);
-	http_conn_send(lane->conn, call->head->str, call->head->len, request->body,
+	http_conn_send(entry->conn, call->head->str, call->head->len, request->body,
 		       request->body_bytes, g_str_equal(request->method, "HEAD"));
 	return call;
 }
 
 void http_call_cancel(http_call_t *call)
 {
-	pool_entry_t *lane = call->lane;
+	pool_entry_t *entry = call->entry;
 
 	if (call->ended)
 		return;
-	http_conn_close(lane->conn);
-	lane->conn = NULL;
-	call_end(call, HTTP_CALL_CANCELLED);
+	http_conn_close(entry->conn);
+	entry->conn = NULL;
+	finish_call(call, HTTP_CALL_CANCELLED);
 }
 
 http_call_result_t http_call_result(const http_call_t *call)
 {
-	return call->end;
+	return call->result;
 }
 
 int http_call_status(const http_call_t *call)
@@ -199,5 +201,5 @@
 
 const char *http_call_header(const http_call_t *call)
 {
-	return call->header;
+	return call->header_value;
 }
--- a/src/net/http_pool.h
+++ b/src/net/http_pool.h
@@ -1,9 +1,9 @@
 /**
  * @file http_pool.h
- * HTTP client calls over numbered slots, each of which holds at most one connection to an endpoint.
+ * HTTP client calls over numbered slots, each of which has at most one connection per endpoint.
  *
- * The caller picks a free slot; a slot is busy from http_pool_start() until `finished`. So a bound
- * on slots is a bound on connections.
+ * The caller picks a free slot; the slot is busy from http_pool_start() until `finished` is called.
+ * Limiting the slots thus limits the connections.
  */
 #ifndef DS_HTTP_POOL_H
 #define DS_HTTP_POOL_H
@@ -13,43 +13,45 @@
 typedef struct http_pool_t http_pool_t;
 typedef struct http_call_t http_call_t;
 
-/** How a call ended. */
+/** Result of a call. */
 typedef enum http_call_result_t {
-	HTTP_CALL_REPLIED,	   /**< a whole reply arrived */
+	HTTP_CALL_REPLIED,	   /**< a complete reply arrived */
 	HTTP_CALL_NOT_SENT,	   /**< no byte of the request can have reached the peer */
 	HTTP_CALL_CONNECTION_LOST, /**< failed after a byte may have reached the peer */
 	HTTP_CALL_CANCELLED,	   /**< ended by http_call_cancel() */
 } http_call_result_t;
 
-/** What to send, and whom to tell. Strings are copied. */
+/** A request and its completion callback. Strings are copied. */
 typedef struct http_request_t {
 	const char *method;
-	const char *address; /**< an IP number */
+	const char *address; /**< an IPv4 address */
 	uint16_t port;
-	const char *path;    /**< with its query string */
-	const char *headers; /**< whole header lines, each ended by CRLF, or NULL */
-	const char *body;    /**< NULL for none */
+	const char *path;    /**< including its query string */
+	const char *headers; /**< complete header lines, each ending in CRLF, or NULL */
+	const char *body;    /**< NULL: no body */
 	size_t body_bytes;
-	const char *reply_header; /**< of the reply, for http_call_header(); NULL: none */
-	uint64_t idle_max_us;  /**< a kept connection that was idle for longer is not used again: it
-				* may have gone silent; 0: any is */
-	bool fresh_connection; /**< do not reuse one: it could die silently under the request */
-	/** Called once, from the loop. The slot is free again once this is called. */
+	const char *reply_header; /**< reply header to keep for http_call_header(); NULL: none */
+	/** A keep-alive connection that was idle for longer is not reused, because it may have
+	 * failed silently; 0: no limit. */
+	uint64_t idle_max_us;
+	/** Open a new connection: a reused one could fail silently during the request. */
+	bool fresh_connection;
+	/** Called once, from the loop. The slot is free again when it is called. */
 	void (*finished)(void *ctx, http_call_t *call);
 	void *ctx;
 } http_request_t;
 
 http_pool_t *http_pool_new(loop_t *loop, uint32_t slots);
 
-/** Start a call on a slot that has none to this endpoint. */
+/** Start a call on a slot that has no call to this endpoint. */
 http_call_t *http_pool_start(http_pool_t *pool, uint32_t slot, const http_request_t *request);
-/** Close the call's connection; `finished` follows with HTTP_CALL_CANCELLED. */
+/** Close the call's connection; `finished` is called later, with HTTP_CALL_CANCELLED. */
 void http_call_cancel(http_call_t *call);
 
 http_call_result_t http_call_result(const http_call_t *call);
 int http_call_status(const http_call_t *call);
 const GString *http_call_reply(const http_call_t *call);
-/** The reply's header that was asked for; NULL when it has none. */
+/** The value of the reply header named in the request; NULL when the reply has no such header. */
 const char *http_call_header(const http_call_t *call);
 
 #endif
