--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -8,17 +8,20 @@
 
 #include <string.h>
 
-/* How often connections are looked over for their time limits: a tenth of the shortest of them. */
+/* Interval between checks of the connections' time limits: a tenth of the shortest of them. */
 #define SWEEP_INTERVAL_US 250000
-/* A closing connection waits so long for the peer's end, so that the last reply is not lost to a
- * reset caused by bytes still on their way. Above any round trip, far below a planned stop. */
+/* How long a closing connection waits for the peer to close its side. If it were closed at once,
+ * bytes still in transit would reset it and the last reply would be lost. Above any round trip, far
+ * below the time of a planned shutdown. */
 #define LINGER_TIMEOUT_US 1000000
-/* A caller who takes none of its reply for so long is given up. */
+/* A caller that does not read its reply for this long is disconnected. */
 #define UNREAD_REPLY_TIMEOUT_US 30000000
-/* Bytes kept of requests that follow one being answered; one that sends more is cut off. */
+/* Limit on buffered bytes of pipelined requests while an earlier request is being answered; a
+ * caller that sends more is disconnected. */
 #define PIPELINED_MAX_BYTES (1u << 20)
 
-/* From connecting to the first request: a round trip, and a caller that is busy. */
+/* Time allowed from connecting to the first request: a round trip and the delay of a busy caller.
+ */
 #define NEW_CONNECTION_GRACE_US 300000
 
 /* One accepted connection. */
@@ -26,10 +29,10 @@
 	http_server_t *server;
 	sock_t *sock;
 	http_message_t *message;   /* the request being received */
-	http_exchange_t *exchange; /* the one being answered */
-	GByteArray *pipelined;	   /* received while one is being answered; NULL when nothing */
+	http_exchange_t *exchange; /* the request being answered */
+	GByteArray *pipelined; /* bytes received while a request is being answered; NULL: none */
 	uint64_t serial;
-	uint64_t since_us; /* when it began to idle, to receive, to reply or to linger */
+	uint64_t state_since_us; /* when it began to idle, receive, reply or linger */
 	bool lingering;
 	bool feeding;
 	GList link; /* in the server's list */
@@ -46,10 +49,10 @@
 	uint32_t open_exchanges;
 	uint64_t last_serial;
 	loop_timer_t sweep;
-	bool leaving;
+	bool draining;
 };
 
-static const char *reason_of(int status)
+static const char *reason_phrase(int status)
 {
 	switch (status) {
 	case 200:
@@ -85,11 +88,11 @@
 static void linger(connection_t *connection)
 {
 	connection->lingering = true;
-	connection->since_us = loop_now_us();
+	connection->state_since_us = loop_now_us();
 	sock_shutdown(connection->sock);
 }
 
-/* ---- the end of an exchange ---- */
+/* ---- replies ---- */
 
 static void feed(connection_t *connection, const char *data, size_t bytes);
 
@@ -109,7 +112,7 @@
 	http_exchange_t *exchange = connection->exchange;
 
 	connection->exchange = NULL;
-	connection->since_us = loop_now_us();
+	connection->state_since_us = loop_now_us();
 	exchange->connection = NULL;
 	exchange->server->open_exchanges--;
 	http_exchange_unref(exchange);
@@ -120,7 +123,7 @@
 {
 	GString *text = g_string_sized_new(256 + body_bytes);
 
-	g_string_append_printf(text, "HTTP/1.1 %d %s\r\n", status, reason_of(status));
+	g_string_append_printf(text, "HTTP/1.1 %d %s\r\n", status, reason_phrase(status));
 	if (content_type)
 		g_string_append_printf(text, "Content-Type: %s\r\n", content_type);
 	if (exchange->reply_headers)
@@ -145,12 +148,13 @@
 	exchange->replied = true;
 	if (!connection)
 		return;
-	close_after = exchange->server->leaving || !http_message_keeps_alive(exchange->message);
+	close_after = exchange->server->draining || !http_message_keeps_alive(exchange->message);
 	write_reply(exchange, status, content_type, body, body_bytes, close_after);
-	connection->since_us = loop_now_us();
+	connection->state_since_us = loop_now_us();
 	if (close_after)
 		linger(connection);
-	/* Counted as done before a slow caller has it all, a planned stop would cut it short. */
+	/* The exchange stays open until a slow caller has received the whole reply; otherwise a
+	 * planned shutdown would truncate the reply. */
 	if (!sock_is_flushed(connection->sock))
 		return;
 	end_exchange(connection);
@@ -160,19 +164,19 @@
 
 /* ---- requests ---- */
 
-/* The fault is answered on this connection, which can't carry another request. */
-static void refuse(connection_t *connection, int status, const char *detail)
+/* Sends an error reply and closes the connection, which can't carry another request. */
+static void reject(connection_t *connection, int status, const char *detail)
 {
 	http_server_t *server = connection->server;
 	g_autofree char *body = NULL;
-	http_exchange_t fault = {
+	http_exchange_t error_exchange = {
 		.server = server, .connection = connection, .message = connection->message};
 
 	if (server->ops->error_body)
 		body = server->ops->error_body(server->ctx, status, detail);
 	g_info("event=request-refused status=%d connection=%" G_GUINT64_FORMAT " reason=\"%s\"",
 	       status, connection->serial, detail);
-	write_reply(&fault, status, body ? "application/problem+json" : "text/plain",
+	write_reply(&error_exchange, status, body ? "application/problem+json" : "text/plain",
 		    body ? body : detail, strlen(body ? body : detail), true);
 	linger(connection);
 }
@@ -187,7 +191,7 @@
 	exchange->connection = connection;
 	exchange->message = connection->message;
 	exchange->serial = connection->serial;
-	exchange->start_us = connection->since_us;
+	exchange->start_us = connection->state_since_us;
 	connection->message = http_message_new(HTTP_MESSAGE_REQUEST, server->limits.message);
 	connection->exchange = exchange;
 	server->open_exchanges++;
@@ -203,11 +207,11 @@
 	       http_message_header(connection->message, "Transfer-Encoding");
 }
 
-/* Acts on what has been received so far; false when no more is to be read. */
+/* Acts on the bytes received so far; returns false when no further bytes may be parsed. */
 static bool handle_message_state(connection_t *connection)
 {
 	if (lacks_content_length(connection)) {
-		refuse(connection, 411, "Content-Length is required");
+		reject(connection, 411, "Content-Length is required");
 		return false;
 	}
 	switch (http_message_state(connection->message)) {
@@ -217,13 +221,13 @@
 		begin_exchange(connection);
 		return true;
 	case HTTP_MESSAGE_INVALID:
-		refuse(connection, 400, "this is not a request in HTTP/1.1");
+		reject(connection, 400, "this is not a request in HTTP/1.1");
 		return false;
 	case HTTP_MESSAGE_HEAD_TOO_LARGE:
-		refuse(connection, 431, "the headers are larger than this server takes");
+		reject(connection, 431, "the headers are larger than this server takes");
 		return false;
 	case HTTP_MESSAGE_BODY_TOO_LARGE:
-		refuse(connection, 413, "the body is larger than this server takes");
+		reject(connection, 413, "the body is larger than this server takes");
 		return false;
 	}
 	return false;
@@ -240,13 +244,13 @@
 {
 	connection->feeding = true;
 	while (bytes && !connection->exchange && !connection->lingering) {
-		size_t taken;
+		size_t consumed;
 
 		if (!http_message_started(connection->message))
-			connection->since_us = loop_arrival_us(connection->server->loop);
-		taken = http_message_feed(connection->message, data, bytes);
-		data += taken;
-		bytes -= taken;
+			connection->state_since_us = loop_arrival_us(connection->server->loop);
+		consumed = http_message_feed(connection->message, data, bytes);
+		data += consumed;
+		bytes -= consumed;
 		if (!handle_message_state(connection))
 			break;
 	}
@@ -294,20 +298,20 @@
 	feed_pipelined(connection);
 }
 
-static void on_ended(void *ctx, sock_close_reason_t end)
+static void on_ended(void *ctx, sock_close_reason_t reason)
 {
 	connection_t *connection = ctx;
 	http_server_t *server = connection->server;
 	http_exchange_t *exchange = connection->exchange;
 
-	(void)end;
+	(void)reason;
 	if (exchange) {
-		bool told = exchange->replied;
+		bool replied = exchange->replied;
 
 		http_exchange_ref(exchange);
 		end_exchange(connection);
-		if (!told && server->ops->gone)
-			server->ops->gone(server->ctx, exchange);
+		if (!replied && server->ops->disconnected)
+			server->ops->disconnected(server->ctx, exchange);
 		http_exchange_unref(exchange);
 	}
 	connection_free(connection);
@@ -331,14 +335,14 @@
 	connection->sock = sock;
 	connection->message = http_message_new(HTTP_MESSAGE_REQUEST, server->limits.message);
 	connection->serial = ++server->last_serial;
-	connection->since_us = loop_now_us();
+	connection->state_since_us = loop_now_us();
 	connection->link.data = connection;
 	g_queue_push_tail_link(&server->connections, &connection->link);
 	server->connections_peak = MAX(server->connections_peak, server->connections.length);
 	sock_set_ops(sock, &connection_ops, connection);
 }
 
-static void drop(connection_t *connection)
+static void drop_connection(connection_t *connection)
 {
 	sock_close(connection->sock);
 	on_ended(connection, SOCK_CLOSED);
@@ -347,28 +351,28 @@
 void http_exchange_abort(http_exchange_t *exchange)
 {
 	if (exchange->connection)
-		drop(exchange->connection);
+		drop_connection(exchange->connection);
 }
 
 static void check_limits(connection_t *connection, uint64_t now_us)
 {
 	const http_server_limits_t *limits = &connection->server->limits;
-	uint64_t age_us = now_us - connection->since_us;
-	bool unread = connection->exchange && connection->exchange->replied;
+	uint64_t age_us = now_us - connection->state_since_us;
+	bool reply_unread = connection->exchange && connection->exchange->replied;
 
-	if (unread) {
+	if (reply_unread) {
 		if (age_us > UNREAD_REPLY_TIMEOUT_US)
-			drop(connection);
+			drop_connection(connection);
 	} else if (connection->lingering) {
 		if (age_us > LINGER_TIMEOUT_US)
-			drop(connection);
+			drop_connection(connection);
 	} else if (connection->exchange) {
 		return;
 	} else if (http_message_started(connection->message)) {
 		if (age_us > limits->receive_us)
-			refuse(connection, 408, "the request did not arrive in time");
+			reject(connection, 408, "the request did not arrive in time");
 	} else if (age_us > limits->idle_us) {
-		drop(connection);
+		drop_connection(connection);
 	}
 }
 
@@ -411,7 +415,7 @@
 	listener_close(server->listener);
 	loop_timer_cancel(&server->sweep);
 	while (server->connections.head)
-		drop(server->connections.head->data);
+		drop_connection(server->connections.head->data);
 	g_free(server);
 }
 
@@ -432,16 +436,16 @@
 
 void http_server_drain(http_server_t *server)
 {
-	server->leaving = true;
+	server->draining = true;
 }
 
-/* A connection that was made a moment ago has its first request on the way: closed, its caller
- * would get no answer at all. */
+/* A connection that was just established doesn't count as idle: its first request is probably in
+ * transit, and closing the connection would leave the caller without any answer. */
 static bool is_idle(const connection_t *connection, uint64_t now_us)
 {
 	return !connection->exchange && !connection->lingering &&
 	       !http_message_started(connection->message) &&
-	       now_us >= connection->since_us + NEW_CONNECTION_GRACE_US;
+	       now_us >= connection->state_since_us + NEW_CONNECTION_GRACE_US;
 }
 
 void http_server_close_idle(http_server_t *server)
--- a/src/tasks/caller_task.c
+++ b/src/tasks/caller_task.c
@@ -268,7 +268,7 @@
 caller_task_t *caller_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries)
 {
 	static const http_server_ops_t server_ops = {.request = on_request,
-						     .gone = on_gone,
+						     .disconnected = on_gone,
 						     .error_body = error_body,
 						     .requires_length = true};
 	static const query_task_ops_t query_ops = {.reply = on_reply};
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -614,7 +614,8 @@
 
 static bool listen_all(front_task_t *task, const settings_t *settings)
 {
-	static const http_server_ops_t caller_ops = {.request = on_request, .gone = on_gone};
+	static const http_server_ops_t caller_ops = {.request = on_request,
+						     .disconnected = on_gone};
 	static const http_server_ops_t ready_ops = {.request = on_ready_request};
 	static const http_server_ops_t metrics_ops = {.request = on_metrics_request};
 	static const hop_server_ops_t hop_ops = {.takes = hop_takes,
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -290,7 +290,7 @@
 {
 	static const struct argp argp = {options, parse_option, NULL, "A stand-in platform.", 0, 0,
 					 0};
-	static const http_server_ops_t ops = {.request = on_request, .gone = on_gone};
+	static const http_server_ops_t ops = {.request = on_request, .disconnected = on_gone};
 	static const http_server_ops_t control = {.request = on_control};
 	platform_t platform = {.address = "127.0.0.1"};
 
--- a/standins/searcher.c
+++ b/standins/searcher.c
@@ -491,7 +491,7 @@
 			       .records = 400};
 	http_server_ops_t ops = {
 		.request = on_request,
-		.gone = on_gone,
+		.disconnected = on_gone,
 	};
 	http_server_ops_t control = {.request = on_control};
 
--- a/standins/users_platform.c
+++ b/standins/users_platform.c
@@ -622,7 +622,8 @@
 
 static bool listen_at_port(searcher_t *searcher)
 {
-	static const http_server_ops_t ops = {.request = on_searcher, .gone = on_searcher_gone};
+	static const http_server_ops_t ops = {.request = on_searcher,
+					      .disconnected = on_searcher_gone};
 
 	searcher->server =
 		http_server_new(searcher->users->loop, "127.0.0.1", (uint16_t)searcher->port,
@@ -904,7 +905,7 @@
 {
 	static const struct argp argp = {
 		options, parse_option, NULL, "A stand-in for the users' platform.", 0, 0, 0};
-	static const http_server_ops_t store = {.request = on_store, .gone = on_store_gone};
+	static const http_server_ops_t store = {.request = on_store, .disconnected = on_store_gone};
 	static const http_server_ops_t control = {.request = on_control};
 	users_t users = {.shards = 3,
 			 .work_ms = 5,
