--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -11,18 +11,20 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Longer than the clocks are read apart on a busy machine, shorter than anything that matters. */
+/* Shortest suspension reported: longer than the time between the two clock readings on a busy
+ * machine, shorter than any suspension that matters. */
 #define SUSPENDED_MIN_US 300000
-/* A timer so late was not held up by load: a processor's quota takes a tenth of a second away,
- * other processes less. */
+/* A timer later than this was not delayed by load: a CPU quota delays it by a tenth of a second,
+ * other processes by less. */
 #define TIMER_LATE_MIN_US 600000
-/* A wait that ends so soon found its events there already. */
+/* A wait that ends within this time found its events already pending. */
 #define IMMEDIATE_WAIT_US 1000
 
-/* Descriptors that libwebsockets polls by itself: those of peers, and the one that stands for all
- * others. */
+/* Limit on the descriptors that libwebsockets polls itself: those of peers, and the epoll
+ * descriptor that covers all others. */
 #define LWS_FD_LIMIT 1024
-/* Descriptors told of in one turn; the rest comes in the next, after timers and messages. */
+/* Descriptors reported in one iteration; the others follow in the next one, after timers and
+ * messages. */
 #define READY_EVENTS_MAX 256
 
 typedef struct posted_message_t {
@@ -33,26 +35,26 @@
 
 struct loop_t {
 	struct lws_context *context;
-	GQueue mailbox;
+	GQueue messages; /* of posted_message_t */
 	timers_t timers;
-	fd_watch_t wake;   /* a timerfd */
-	uint64_t armed_us; /* when it is set to fire; TIMERS_NEVER when it is not */
+	fd_watch_t timerfd;
+	uint64_t armed_us; /* expiry of the timerfd; TIMERS_NEVER when it is not armed */
 	struct lws_protocols protocols[2];
-	int epoll_fd; /* of all watched descriptors */
+	int epoll_fd; /* polls all watched descriptors */
 	struct epoll_event ready[READY_EVENTS_MAX];
-	int ready_count; /* of those being told */
+	int ready_count; /* entries of `ready` being reported */
 	void (*iteration_end)(void *ctx);
 	void *iteration_end_ctx;
-	void (*woke)(void *ctx, uint64_t still_us);
+	void (*resumed)(void *ctx, uint64_t suspended_us);
 	void *resumed_ctx;
-	int64_t still_us; /* time that the machine has stood still since it started */
+	int64_t suspended_us; /* total time that the machine was suspended since it booted */
 	bool stopping;
-	uint64_t wait_us;	 /* when it began to wait for events */
-	uint64_t first_event_us; /* when the first event after that was told; 0: not yet */
-	uint64_t before_us;	 /* first_event_us of the turn before */
+	uint64_t wait_start_us;	 /* when the loop began to wait for events */
+	uint64_t first_event_us; /* time of the first event report after that; 0: none yet */
+	uint64_t previous_first_event_us; /* first_event_us of the previous iteration */
 };
 
-/* Signal handlers take no context: the flags and the context to wake stand alone here. */
+/* Signal handlers get no context argument, so the flags and the context to wake are globals. */
 static volatile sig_atomic_t pending_signals[32];
 static struct lws_context *volatile wake_context;
 
@@ -72,9 +74,9 @@
 /* ---- descriptors ---- */
 
 /*
- * They are polled by one epoll descriptor that libwebsockets polls. Its own poll looks at each
- * descriptor at each wake-up, and a VM that gathers for others has a connection or more to each of
- * several hundred searchers.
+ * One epoll descriptor polls all watched descriptors, and libwebsockets polls only the epoll
+ * descriptor. libwebsockets' own poll checks every descriptor at every wake-up, and a VM that
+ * gathers for others has at least one connection to each of several hundred searchers.
  */
 
 static bool set_events(const fd_watch_t *watch, int operation)
@@ -102,7 +104,7 @@
 	set_events(watch, EPOLL_CTL_MOD);
 }
 
-/* Its events that were read together with the one being told must not reach it any more. */
+/* Discards the watch's other events from the same epoll_wait(): they must not reach it any more. */
 void loop_unwatch(fd_watch_t *watch)
 {
 	loop_t *loop = watch->loop;
@@ -122,20 +124,20 @@
 	return watch->event(watch, FD_WRITABLE);
 }
 
-/* A connection that broke while it was made is told as writable, any other as readable: the next
- * call on it gives the error. */
+/* A connection that failed while connecting is reported as writable, any other failed connection as
+ * readable: the next system call on it returns the error. */
 static void report_ready(fd_watch_t *watch, uint32_t events)
 {
-	bool broke = events & (EPOLLERR | EPOLLHUP);
-	bool writable = watch->wants_write && (broke || (events & EPOLLOUT));
-	bool readable = (events & EPOLLIN) || (broke && !writable);
-	bool stays = true;
+	bool failed = events & (EPOLLERR | EPOLLHUP);
+	bool writable = watch->wants_write && (failed || (events & EPOLLOUT));
+	bool readable = (events & EPOLLIN) || (failed && !writable);
+	bool keep = true;
 
 	if (readable)
-		stays = watch->event(watch, FD_READABLE);
-	if (stays && writable)
-		stays = report_writable(watch);
-	if (!stays)
+		keep = watch->event(watch, FD_READABLE);
+	if (keep && writable)
+		keep = report_writable(watch);
+	if (!keep)
 		loop_unwatch(watch);
 }
 
@@ -192,9 +194,10 @@
 static void start_timers(loop_t *loop)
 {
 	loop->armed_us = TIMERS_NEVER;
-	loop->wake = (fd_watch_t){.fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC),
-				  .event = on_timerfd};
-	if (loop->wake.fd < 0 || !loop_watch(loop, &loop->wake))
+	loop->timerfd =
+		(fd_watch_t){.fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC),
+			     .event = on_timerfd};
+	if (loop->timerfd.fd < 0 || !loop_watch(loop, &loop->timerfd))
 		g_error("event=loop-failed reason=timerfd");
 	timers_init(&loop->timers);
 }
@@ -203,7 +206,7 @@
 {
 	struct lws_context_creation_info info = {
 		.port = CONTEXT_PORT_NO_LISTEN,
-		/* Where IPv6 is not to be had, a context that may use it opens no socket. */
+		/* Where IPv6 is unavailable, a context that may use it opens no socket. */
 		.options = LWS_SERVER_OPTION_EXPLICIT_VHOSTS | LWS_SERVER_OPTION_DISABLE_IPV6,
 		.fd_limit_per_thread = LWS_FD_LIMIT,
 		.timeout_secs = 10,
@@ -215,7 +218,7 @@
 	loop->context = lws_create_context(&info);
 	if (!loop->context)
 		g_error("event=loop-failed reason=context");
-	g_queue_init(&loop->mailbox);
+	g_queue_init(&loop->messages);
 	start_epoll(loop);
 	start_timers(loop);
 	return loop;
@@ -231,23 +234,23 @@
 	posted_message_t *posted = g_new(posted_message_t, 1);
 
 	*posted = (posted_message_t){.receive = receive, .task = task, .message = message};
-	g_queue_push_tail(&loop->mailbox, posted);
+	g_queue_push_tail(&loop->messages, posted);
 }
 
 static void loop_deliver(loop_t *loop)
 {
 	posted_message_t *posted;
 
-	while ((posted = g_queue_pop_head(&loop->mailbox))) {
+	while ((posted = g_queue_pop_head(&loop->messages))) {
 		posted->receive(posted->task, posted->message);
 		g_free(posted);
 	}
 }
 
 /*
- * Timers of our own on one timerfd: libwebsockets' timers were seen to fire up to half a second
- * late, when the next event came on some socket. A timer that was cancelled leaves the descriptor
- * armed: one wake-up for nothing costs less than a system call for each request that ends in time.
+ * All timers share one timerfd. libwebsockets' own timers can fire up to half a second late, when
+ * the next event occurs on some socket. Cancelling a timer leaves the timerfd armed: one unneeded
+ * wake-up costs less than a system call for each request that ends in time.
  */
 static void arm_timerfd(loop_t *loop)
 {
@@ -262,7 +265,7 @@
 	loop->armed_us = next_us;
 	at.it_value.tv_sec = (time_t)(delay_us / 1000000);
 	at.it_value.tv_nsec = (long)(delay_us % 1000000 * 1000);
-	timerfd_settime(loop->wake.fd, 0, &at, NULL);
+	timerfd_settime(loop->timerfd.fd, 0, &at, NULL);
 }
 
 static void timer_fired(void *ctx, uint64_t now_us)
@@ -287,7 +290,7 @@
 		timers_cancel(&timer->loop->timers, &timer->entry);
 }
 
-/* Messages may set timers and timers post messages; both are done before the next wait. */
+/* Messages may set timers and timers may post messages; both are processed before the next wait. */
 static void run_messages_and_timers(loop_t *loop)
 {
 	loop_deliver(loop);
@@ -295,72 +298,72 @@
 	loop_deliver(loop);
 }
 
-void loop_set_iteration_end(loop_t *loop, void (*done)(void *ctx), void *ctx)
+void loop_set_iteration_end(loop_t *loop, void (*iteration_end)(void *ctx), void *ctx)
 {
-	loop->iteration_end = done;
+	loop->iteration_end = iteration_end;
 	loop->iteration_end_ctx = ctx;
 }
 
-/* The two clocks are read one after the other: the difference may go back a little. */
-static int64_t still_us(void)
+/* The two clocks are read one after the other, so the difference may decrease slightly. */
+static int64_t total_suspended_us(void)
 {
 	return (int64_t)loop_now_us() - g_get_monotonic_time();
 }
 
-void loop_set_resumed(loop_t *loop, void (*woke)(void *ctx, uint64_t still_us), void *ctx)
+void loop_set_resumed(loop_t *loop, void (*resumed)(void *ctx, uint64_t suspended_us), void *ctx)
 {
-	loop->woke = woke;
+	loop->resumed = resumed;
 	loop->resumed_ctx = ctx;
-	loop->still_us = still_us();
+	loop->suspended_us = total_suspended_us();
 }
 
 /*
- * A machine that stood still goes on as if nothing had happened: it would send work to searchers
- * that left meanwhile. After a suspension one clock has counted that time and the other has not;
- * after any other halt the timer that was armed is late.
+ * After a halt of the machine the process continues as if nothing had happened: it would send work
+ * to searchers that left in the meantime. One clock counts the time of a suspension and the other
+ * does not; after any other halt the armed timer is late.
  */
 static void check_suspension(loop_t *loop)
 {
-	int64_t now_still_us = still_us();
-	int64_t more_us = now_still_us - loop->still_us;
+	int64_t total_us = total_suspended_us();
+	int64_t added_us = total_us - loop->suspended_us;
 
 	uint64_t now_us = loop_now_us();
 	bool late = loop->armed_us != TIMERS_NEVER && now_us > loop->armed_us + TIMER_LATE_MIN_US;
 
-	loop->still_us = now_still_us;
-	if (more_us > SUSPENDED_MIN_US)
-		loop->woke(loop->resumed_ctx, (uint64_t)more_us);
+	loop->suspended_us = total_us;
+	if (added_us > SUSPENDED_MIN_US)
+		loop->resumed(loop->resumed_ctx, (uint64_t)added_us);
 	else if (late)
-		loop->woke(loop->resumed_ctx, now_us - loop->armed_us);
+		loop->resumed(loop->resumed_ctx, now_us - loop->armed_us);
 }
 
 void loop_run(loop_t *loop, void (*on_signal)(void *ctx, int signal_number), void *ctx)
 {
-	static const int watched[] = {SIGTERM, SIGINT, SIGHUP};
+	static const int handled[] = {SIGTERM, SIGINT, SIGHUP};
 
 	wake_context = loop->context;
 	signal(SIGPIPE, SIG_IGN);
-	for (size_t i = 0; i < G_N_ELEMENTS(watched); i++)
-		signal(watched[i], record_signal);
+	for (size_t i = 0; i < G_N_ELEMENTS(handled); i++)
+		signal(handled[i], record_signal);
 
 	loop->stopping = false;
 	run_messages_and_timers(loop);
 	while (!loop->stopping) {
 		arm_timerfd(loop);
-		loop->before_us = loop->first_event_us;
+		loop->previous_first_event_us = loop->first_event_us;
 		loop->first_event_us = 0;
-		loop->wait_us = loop_now_us();
+		loop->wait_start_us = loop_now_us();
 		if (loop->iteration_end)
 			loop->iteration_end(loop->iteration_end_ctx);
 		if (lws_service(loop->context, 0) < 0)
 			break;
-		if (loop->woke)
+		if (loop->resumed)
 			check_suspension(loop);
-		for (size_t i = 0; i < G_N_ELEMENTS(watched); i++) {
-			if (!pending_signals[watched[i]])
+		for (size_t i = 0; i < G_N_ELEMENTS(handled); i++) {
+			if (!pending_signals[handled[i]])
 				continue;
-			pending_signals[watched[i]] = 0;
-			on_signal(ctx, watched[i]);
+			pending_signals[handled[i]] = 0;
+			on_signal(ctx, handled[i]);
 		}
 		run_messages_and_timers(loop);
 	}
@@ -372,14 +375,16 @@
 	loop->stopping = true;
 }
 
-/* Events that were there before the wait began came at any time since the turn before began. */
+/* Events that were pending before the wait began may have arrived at any time since the previous
+ * iteration began. */
 uint64_t loop_arrival_us(const loop_t *loop)
 {
-	bool at_once = loop->first_event_us < loop->wait_us + IMMEDIATE_WAIT_US;
+	bool pending = loop->first_event_us < loop->wait_start_us + IMMEDIATE_WAIT_US;
 
-	if (!loop->first_event_us) /* from a timer */
+	if (!loop->first_event_us) /* called from a timer */
 		return loop_now_us();
-	return at_once && loop->before_us ? loop->before_us : loop->first_event_us;
+	return pending && loop->previous_first_event_us ? loop->previous_first_event_us
+							: loop->first_event_us;
 }
 
 uint64_t loop_now_us(void)
