--- a/src/net/sock.c
+++ b/src/net/sock.c
@@ -12,67 +12,67 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* One read takes a typical reply whole; larger ones take several. */
+/* Bytes per read: a typical reply needs one read, larger ones need several. */
 #define READ_CHUNK_BYTES 16384
-/* Connections queued by the kernel while one turn of the loop runs; beyond it callers wait. */
+/* Connections that the kernel queues during one loop iteration; beyond this callers wait. */
 #define LISTEN_BACKLOG 512
-/* A peer that acknowledges nothing for so long is gone; well above any link's round trip. */
+/* A peer that acknowledges nothing for this long is considered dead; well above any link's round
+ * trip. */
 #define UNACKNOWLEDGED_MAX_MS 6000
 
 struct sock_t {
-	fd_watch_t watch; /* first: the loop's events come with a pointer to it */
+	fd_watch_t watch; /* must be first: the event callback casts its address */
 	const sock_ops_t *ops;
 	void *ctx;
-	GByteArray *out; /* what the kernel has not taken yet; NULL when nothing */
+	GByteArray *unsent; /* bytes that the kernel has not accepted yet; NULL: none */
 	bool connecting;
-	bool shutting_down; /* our direction ends once `out` is written */
+	bool shutting_down; /* shut down the sending direction once `unsent` is written */
 	bool in_callback;
-	bool closed; /* no more callbacks; freed when the loop lets go of it */
+	bool closed; /* no more callbacks; freed on FD_CLOSED */
 };
 
 struct listener_t {
-	fd_watch_t watch; /* first: the loop's events come with a pointer to it */
+	fd_watch_t watch; /* must be first: the event callback casts its address */
 	loop_t *loop;
 	listener_accepted_f accepted;
 	void *ctx;
 };
 
-const char *sock_close_reason_name(sock_close_reason_t end)
+const char *sock_close_reason_name(sock_close_reason_t reason)
 {
 	static const char *const names[] = {[SOCK_CLOSED] = "closed",
 					    [SOCK_RESET] = "reset",
 					    [SOCK_REFUSED] = "refused",
 					    [SOCK_CONNECT_FAILED] = "unreached"};
 
-	return names[end];
+	return names[reason];
 }
 
 static void free_unsent(sock_t *sock)
 {
-	if (sock->out)
-		g_byte_array_unref(sock->out);
-	sock->out = NULL;
+	if (sock->unsent)
+		g_byte_array_unref(sock->unsent);
+	sock->unsent = NULL;
 }
 
-static void report_close(sock_t *sock, sock_close_reason_t end)
+static void report_close(sock_t *sock, sock_close_reason_t reason)
 {
 	if (sock->closed)
 		return;
 	sock->closed = true;
-	if (sock->connecting && end != SOCK_REFUSED)
-		end = SOCK_CONNECT_FAILED;
+	if (sock->connecting && reason != SOCK_REFUSED)
+		reason = SOCK_CONNECT_FAILED;
 	if (sock->ops)
-		sock->ops->ended(sock->ctx, end);
+		sock->ops->ended(sock->ctx, reason);
 }
 
-/* A connection that can't be made may be told as readable first: then it is the read that says why.
- */
-static sock_close_reason_t end_of(int problem)
+/* A failed connection attempt may be reported as readable first: then the read returns errno. */
+static sock_close_reason_t reason_of_errno(int error)
 {
-	return problem == ECONNREFUSED ? SOCK_REFUSED : SOCK_RESET;
+	return error == ECONNREFUSED ? SOCK_REFUSED : SOCK_RESET;
 }
 
-/* 0 to go on, -1 when the connection has ended. */
+/* Returns 0, or -1 when the socket is closed. */
 static int read_available(sock_t *sock)
 {
 	char chunk[READ_CHUNK_BYTES];
@@ -83,7 +83,7 @@
 		if (got < 0 && (errno == EAGAIN || errno == EINTR))
 			return 0;
 		if (got <= 0) {
-			report_close(sock, got == 0 ? SOCK_CLOSED : end_of(errno));
+			report_close(sock, got == 0 ? SOCK_CLOSED : reason_of_errno(errno));
 			return -1;
 		}
 		if (sock->ops)
@@ -94,11 +94,11 @@
 
 static int finish_connect(sock_t *sock)
 {
-	int problem = 0;
-	socklen_t size = sizeof(problem);
+	int error = 0;
+	socklen_t size = sizeof(error);
 
-	if (getsockopt(sock->watch.fd, SOL_SOCKET, SO_ERROR, &problem, &size) || problem) {
-		report_close(sock, end_of(problem));
+	if (getsockopt(sock->watch.fd, SOL_SOCKET, SO_ERROR, &error, &size) || error) {
+		report_close(sock, reason_of_errno(error));
 		return -1;
 	}
 	sock->connecting = false;
@@ -110,16 +110,16 @@
 {
 	ssize_t sent;
 
-	if (!sock->out)
+	if (!sock->unsent)
 		return 0;
-	sent = send(sock->watch.fd, sock->out->data, sock->out->len, MSG_NOSIGNAL);
+	sent = send(sock->watch.fd, sock->unsent->data, sock->unsent->len, MSG_NOSIGNAL);
 	if (sent < 0 && errno != EAGAIN && errno != EINTR) {
 		report_close(sock, SOCK_RESET);
 		return -1;
 	}
 	if (sent > 0)
-		g_byte_array_remove_range(sock->out, 0, (guint)sent);
-	if (sock->out->len) {
+		g_byte_array_remove_range(sock->unsent, 0, (guint)sent);
+	if (sock->unsent->len) {
 		loop_want_write(&sock->watch);
 		return 0;
 	}
@@ -131,7 +131,8 @@
 	return sock->closed ? -1 : 0;
 }
 
-/* The loop closes the descriptor after this; bytes that came with the end are still read. */
+/* Handles FD_CLOSED, after which the loop closes the descriptor. Bytes that arrived together with
+ * the close are still read. */
 static void free_closed(sock_t *sock)
 {
 	if (!sock->closed && read_available(sock) == 0)
@@ -143,24 +144,24 @@
 static bool sock_event(fd_watch_t *watch, fd_event_t event)
 {
 	sock_t *sock = (sock_t *)watch;
-	int end = 0;
+	int closed = 0;
 
 	sock->in_callback = true;
 	switch (event) {
 	case FD_READABLE:
-		end = read_available(sock);
+		closed = read_available(sock);
 		break;
 	case FD_WRITABLE:
-		end = sock->connecting ? finish_connect(sock) : 0;
-		if (!end)
-			end = write_unsent(sock);
+		closed = sock->connecting ? finish_connect(sock) : 0;
+		if (!closed)
+			closed = write_unsent(sock);
 		break;
 	case FD_CLOSED:
 		free_closed(sock);
 		return false;
 	}
 	sock->in_callback = false;
-	return !end && !sock->closed;
+	return !closed && !sock->closed;
 }
 
 static void set_options(int fd)
@@ -197,26 +198,27 @@
 	return true;
 }
 
-static bool to_sockaddr(const char *address, uint16_t port, struct sockaddr_in *out)
+static bool to_sockaddr(const char *address, uint16_t port, struct sockaddr_in *socket_address)
 {
-	*out = (struct sockaddr_in){.sin_family = AF_INET, .sin_port = htons(port)};
-	return inet_pton(AF_INET, address, &out->sin_addr) == 1;
+	*socket_address = (struct sockaddr_in){.sin_family = AF_INET, .sin_port = htons(port)};
+	return inet_pton(AF_INET, address, &socket_address->sin_addr) == 1;
 }
 
 sock_t *sock_connect(loop_t *loop, const char *address, uint16_t port, const sock_ops_t *ops,
 		     void *ctx)
 {
-	struct sockaddr_in to;
+	struct sockaddr_in peer_address;
 	sock_t *sock;
 	int fd;
 
-	if (!to_sockaddr(address, port, &to))
+	if (!to_sockaddr(address, port, &peer_address))
 		return NULL;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
 		return NULL;
 	set_options(fd);
-	if (connect(fd, (struct sockaddr *)&to, sizeof(to)) && errno != EINPROGRESS) {
+	if (connect(fd, (struct sockaddr *)&peer_address, sizeof(peer_address)) &&
+	    errno != EINPROGRESS) {
 		close(fd);
 		return NULL;
 	}
@@ -244,29 +246,30 @@
 
 	if (sock->closed || !bytes)
 		return;
-	if (!sock->out && !sock->connecting) {
+	if (!sock->unsent && !sock->connecting) {
 		sent = send(sock->watch.fd, data, bytes, MSG_NOSIGNAL);
-		/* A broken connection is told by the next poll, never from inside a write. */
+		/* The next poll reports a failed connection; sock_write() calls no callback. */
 		if (sent < 0)
 			sent = 0;
 		if ((size_t)sent == bytes)
 			return;
 	}
-	if (!sock->out)
-		sock->out = g_byte_array_new();
-	g_byte_array_append(sock->out, (const guint8 *)data + sent, (guint)(bytes - (size_t)sent));
+	if (!sock->unsent)
+		sock->unsent = g_byte_array_new();
+	g_byte_array_append(sock->unsent, (const guint8 *)data + sent,
+			    (guint)(bytes - (size_t)sent));
 	loop_want_write(&sock->watch);
 }
 
 bool sock_is_flushed(const sock_t *sock)
 {
-	return !sock->out;
+	return !sock->unsent;
 }
 
 void sock_shutdown(sock_t *sock)
 {
 	sock->shutting_down = true;
-	if (!sock->out && !sock->closed)
+	if (!sock->unsent && !sock->closed)
 		shutdown(sock->watch.fd, SHUT_WR);
 }
 
@@ -275,7 +278,8 @@
 	if (sock->closed)
 		return;
 	sock->closed = true;
-	/* From inside its own callback the return value closes it; the loop still uses it. */
+	/* In its own callback the socket is closed by the callback's return value, because the loop
+	 * still uses the socket. */
 	if (!sock->in_callback)
 		loop_unwatch(&sock->watch);
 }
@@ -283,17 +287,18 @@
 listener_t *listener_new(loop_t *loop, const char *address, uint16_t port,
 			 listener_accepted_f accepted, void *ctx)
 {
-	struct sockaddr_in at;
+	struct sockaddr_in own_address;
 	listener_t *listener;
 	int on = 1, fd;
 
-	if (!to_sockaddr(address, port, &at))
+	if (!to_sockaddr(address, port, &own_address))
 		return NULL;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
 		return NULL;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	if (bind(fd, (struct sockaddr *)&at, sizeof(at)) || listen(fd, LISTEN_BACKLOG)) {
+	if (bind(fd, (struct sockaddr *)&own_address, sizeof(own_address)) ||
+	    listen(fd, LISTEN_BACKLOG)) {
 		close(fd);
 		return NULL;
 	}
--- a/src/net/sock.h
+++ b/src/net/sock.h
@@ -1,10 +1,10 @@
 /**
  * @file sock.h
- * Non-blocking TCP sockets and listeners on the service loop.
+ * Non-blocking TCP sockets and listeners on the event loop.
  *
- * libwebsockets polls the descriptors; reading, writing and closing are done here, because its own
- * raw sockets do not tell a closed connection from a reset one, and a reply without a length is
- * whole only after the former.
+ * libwebsockets polls the descriptors; reading, writing and closing are done here, because its raw
+ * sockets do not distinguish a closed connection from a reset one, and a reply without a length is
+ * complete only after the former.
  */
 #ifndef DS_SOCK_H
 #define DS_SOCK_H
@@ -14,46 +14,46 @@
 typedef struct sock_t sock_t;
 typedef struct listener_t listener_t;
 
-/** How a connection ended. */
+/** Why a connection was closed. */
 typedef enum sock_close_reason_t {
-	SOCK_CLOSED,	     /**< the peer closed it in order */
-	SOCK_RESET,	     /**< it broke: reset, timed out in the kernel, unreachable */
-	SOCK_REFUSED,	     /**< it was never established: nobody listens there */
-	SOCK_CONNECT_FAILED, /**< it was never established, for any other reason */
+	SOCK_CLOSED,  /**< closed cleanly by the peer */
+	SOCK_RESET,   /**< lost: reset, timed out in the kernel, or the peer is unreachable */
+	SOCK_REFUSED, /**< not established: nothing listens on the port */
+	SOCK_CONNECT_FAILED, /**< not established for any other reason */
 } sock_close_reason_t;
 
 typedef struct sock_ops_t {
 	/** An outgoing connection is established. */
 	void (*opened)(void *ctx);
-	/** Bytes arrived; they are gone after the return. The socket may be closed from here. */
+	/** Bytes arrived; valid only during this call. The callback may close the socket. */
 	void (*received)(void *ctx, const char *data, size_t bytes);
-	/** Everything written was taken by the kernel, after some had to wait. May be NULL. */
+	/** The kernel accepted all written bytes, after some had to be buffered. May be NULL. */
 	void (*flushed)(void *ctx);
-	/** The last call for this socket, unless sock_close() came first. */
-	void (*ended)(void *ctx, sock_close_reason_t end);
+	/** The last callback: the connection was closed, but not by sock_close(). */
+	void (*ended)(void *ctx, sock_close_reason_t reason);
 } sock_ops_t;
 
-const char *sock_close_reason_name(sock_close_reason_t end);
-/** Connect to an IPv4 number; NULL when the machine has no descriptor left for it. */
+const char *sock_close_reason_name(sock_close_reason_t reason);
+/** Connect to an IPv4 address; NULL when the machine has no free descriptor. */
 sock_t *sock_connect(loop_t *loop, const char *address, uint16_t port, const sock_ops_t *ops,
 		     void *ctx);
-/** Send now what the kernel takes, and the rest as it takes more. */
+/** Send as many bytes as the kernel accepts now, and the others when it accepts more. */
 void sock_write(sock_t *sock, const void *data, size_t bytes);
-/** Whether everything written was taken by the kernel. */
+/** Whether the kernel accepted all written bytes. */
 bool sock_is_flushed(const sock_t *sock);
-/** End our direction once everything is written; the peer's bytes go on arriving. */
+/** Shut down the sending direction once all bytes are written; bytes of the peer still arrive. */
 void sock_shutdown(sock_t *sock);
-/** Close at once; no callback follows. */
+/** Close immediately; no callback is called afterwards. */
 void sock_close(sock_t *sock);
 
-/** Told of each accepted connection; sets its handlers with sock_set_ops(). */
+/** Called for each accepted connection; sets its callbacks with sock_set_ops(). */
 typedef void (*listener_accepted_f)(void *ctx, sock_t *sock);
 
 void sock_set_ops(sock_t *sock, const sock_ops_t *ops, void *ctx);
-/** Listen on an IPv4 number; NULL when the address can't be had. */
+/** Listen on an IPv4 address; NULL when binding to it fails. */
 listener_t *listener_new(loop_t *loop, const char *address, uint16_t port,
 			 listener_accepted_f accepted, void *ctx);
-/** Stop listening, and free: who connects from now on is refused. */
+/** Stop listening and free the listener; later connection attempts are refused. */
 void listener_close(listener_t *listener);
 
 #endif
