--- a/tests/message_test.c
+++ b/tests/message_test.c
@@ -1,6 +1,6 @@
 /**
  * @file message_test.c
- * What the HTTP codec makes of requests and replies, whole and byte by byte.
+ * Parsing of HTTP requests and replies, given at once and byte by byte.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,74 +11,77 @@
 
 #include <string.h>
 
-#define HEAD_MOST 256
-#define BODY_MOST 64
+#define HEAD_MAX_BYTES 256
+#define BODY_MAX_BYTES 64
 
 typedef struct message_case_t {
 	const char *what;
 	http_message_kind_t kind;
 	const char *bytes;
 	http_message_state_t state;
-	const char *body; /* of a whole one */
+	const char *body; /* of a complete message */
 	bool keeps_alive;
 } message_case_t;
 
 #define REQUEST HTTP_MESSAGE_REQUEST
 #define REPLY HTTP_MESSAGE_REPLY
-#define WHOLE HTTP_MESSAGE_COMPLETE
-#define BAD HTTP_MESSAGE_INVALID
-#define MORE HTTP_MESSAGE_INCOMPLETE
+#define COMPLETE HTTP_MESSAGE_COMPLETE
+#define INVALID HTTP_MESSAGE_INVALID
+#define INCOMPLETE HTTP_MESSAGE_INCOMPLETE
 
 static const message_case_t cases[] = {
-	{"no body", REQUEST, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n", WHOLE, "", true},
-	{"length", REQUEST, "POST /a/ HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", WHOLE, "abc",
+	{"no body", REQUEST, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n", COMPLETE, "", true},
+	{"length", REQUEST, "POST /a/ HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", COMPLETE, "abc",
 	 true},
 	{"chunks", REQUEST,
 	 "POST /a/ HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
-	 WHOLE, "abc", true},
+	 COMPLETE, "abc", true},
 	{"trailers are dropped", REQUEST,
-	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\r\n\r\n", WHOLE, "", true},
-	{"close", REQUEST, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n", WHOLE, "", false},
-	{"empty header", REQUEST, "GET / HTTP/1.1\r\nX:\r\nY: z\r\n\r\n", WHOLE, "", true},
+	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\r\n\r\n", COMPLETE, "",
+	 true},
+	{"close", REQUEST, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n", COMPLETE, "", false},
+	{"empty header", REQUEST, "GET / HTTP/1.1\r\nX:\r\nY: z\r\n\r\n", COMPLETE, "", true},
 	{"offer to upgrade", REQUEST, "GET / HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-	 WHOLE, "", true},
+	 COMPLETE, "", true},
 	{"both lengths", REQUEST,
 	 "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-	 BAD},
+	 INVALID},
 	{"two lengths", REQUEST,
-	 "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", BAD},
-	{"negative length", REQUEST, "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", BAD},
-	{"folded header", REQUEST, "GET / HTTP/1.1\r\nX: a\r\n b\r\n\r\n", BAD},
-	{"folded by a tab", REQUEST, "GET / HTTP/1.1\r\nX: a\r\n\tb\r\n\r\n", BAD},
-	{"bare line feed", REQUEST, "GET / HTTP/1.1\nHost: h\n\n", BAD},
-	{"bare carriage return", REQUEST, "GET / HTTP/1.1\r\nX: a\rb\r\n\r\n", BAD},
-	{"space before the colon", REQUEST, "GET / HTTP/1.1\r\nContent-Length : 3\r\n\r\nabc", BAD},
+	 "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", INVALID},
+	{"negative length", REQUEST, "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", INVALID},
+	{"folded header", REQUEST, "GET / HTTP/1.1\r\nX: a\r\n b\r\n\r\n", INVALID},
+	{"folded by a tab", REQUEST, "GET / HTTP/1.1\r\nX: a\r\n\tb\r\n\r\n", INVALID},
+	{"bare line feed", REQUEST, "GET / HTTP/1.1\nHost: h\n\n", INVALID},
+	{"bare carriage return", REQUEST, "GET / HTTP/1.1\r\nX: a\rb\r\n\r\n", INVALID},
+	{"space before the colon", REQUEST, "GET / HTTP/1.1\r\nContent-Length : 3\r\n\r\nabc",
+	 INVALID},
 	{"chunk size that is none", REQUEST,
-	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", BAD},
+	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", INVALID},
 	{"chunk without its end", REQUEST,
-	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabcd", BAD},
-	{"no version", REQUEST, "GET /\r\n\r\n", BAD},
-	{"not HTTP", REQUEST, "\x16\x03\x01\x02", BAD},
+	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabcd", INVALID},
+	{"no version", REQUEST, "GET /\r\n\r\n", INVALID},
+	{"not HTTP", REQUEST, "\x16\x03\x01\x02", INVALID},
 	{"body over the limit", REQUEST, "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n",
 	 HTTP_MESSAGE_BODY_TOO_LARGE},
 	{"chunks over the limit", REQUEST,
 	 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	 "41\r\n01234567890123456789012345678901234567890123456789012345678901234\r\n",
 	 HTTP_MESSAGE_BODY_TOO_LARGE},
-	{"part of a head", REQUEST, "GET / HTTP/1.1\r\nHost", MORE},
-	{"reply", REPLY, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", WHOLE, "ab", true},
-	{"reply without a body", REPLY, "HTTP/1.1 204 No\r\n\r\n", WHOLE, "", true},
+	{"part of a head", REQUEST, "GET / HTTP/1.1\r\nHost", INCOMPLETE},
+	{"reply", REPLY, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", COMPLETE, "ab", true},
+	{"reply without a body", REPLY, "HTTP/1.1 204 No\r\n\r\n", COMPLETE, "", true},
 	{"interim reply first", REPLY,
-	 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", WHOLE, "a",
-	 true},
-	{"reply cut short", REPLY, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", MORE},
-	{"reply without a length", REPLY, "HTTP/1.1 200 OK\r\n\r\nab", MORE},
-	{"reply that is none", REPLY, "garbage\r\n\r\n", BAD},
+	 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", COMPLETE,
+	 "a", true},
+	{"reply cut short", REPLY, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", INCOMPLETE},
+	{"reply without a length", REPLY, "HTTP/1.1 200 OK\r\n\r\nab", INCOMPLETE},
+	{"reply that is none", REPLY, "garbage\r\n\r\n", INVALID},
 };
 
 static http_message_t *message_new(http_message_kind_t kind)
 {
-	const http_message_limits_t limits = {.head_bytes = HEAD_MOST, .body_bytes = BODY_MOST};
+	const http_message_limits_t limits = {.head_bytes = HEAD_MAX_BYTES,
+					      .body_bytes = BODY_MAX_BYTES};
 
 	return http_message_new(kind, limits);
 }
@@ -87,7 +90,7 @@
 {
 	if (http_message_state(message) != row->state)
 		fail_msg("%s: state %d", row->what, http_message_state(message));
-	if (row->state != WHOLE)
+	if (row->state != COMPLETE)
 		return;
 	assert_string_equal(http_message_body(message)->str, row->body);
 	assert_int_equal(http_message_keeps_alive(message), row->keeps_alive);
@@ -105,7 +108,7 @@
 	}
 }
 
-/* However the bytes are cut into reads, they mean the same. */
+/* The result does not depend on how the bytes are split into reads. */
 static void test_byte_by_byte(void **state)
 {
 	(void)state;
@@ -121,7 +124,7 @@
 
 static void test_head_limit(void **state)
 {
-	g_autofree char *long_value = g_strnfill(HEAD_MOST, 'x');
+	g_autofree char *long_value = g_strnfill(HEAD_MAX_BYTES, 'x');
 	g_autofree char *text = g_strdup_printf("GET / HTTP/1.1\r\nX: %s\r\n\r\n", long_value);
 	http_message_t *message = message_new(REQUEST);
 
@@ -131,7 +134,7 @@
 	http_message_free(message);
 }
 
-/* Two requests on one connection: the second one's bytes are left for it. */
+/* Two requests on one connection: parsing the first consumes no bytes of the second. */
 static void test_pipelined(void **state)
 {
 	static const char text[] = "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
@@ -146,7 +149,7 @@
 	http_message_free(message);
 }
 
-/* A reply without a length is whole once its connection is closed in order, and not before. */
+/* A reply without a length is complete once its connection is closed cleanly, and not before. */
 static void test_closed_reply(void **state)
 {
 	static const char text[] = "HTTP/1.1 200 OK\r\n\r\nab";
@@ -155,12 +158,12 @@
 	(void)state;
 	http_message_feed(message, text, strlen(text));
 	http_message_feed_end(message);
-	assert_int_equal(http_message_state(message), WHOLE);
+	assert_int_equal(http_message_state(message), COMPLETE);
 	assert_false(http_message_keeps_alive(message));
 	http_message_reset(message);
 	http_message_feed(message, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", 40);
 	http_message_feed_end(message);
-	assert_int_equal(http_message_state(message), BAD);
+	assert_int_equal(http_message_state(message), INVALID);
 	http_message_free(message);
 }
 
