--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -20,8 +20,7 @@
  * caller that sends more is disconnected. */
 #define PIPELINED_MAX_BYTES (1u << 20)
 
-/* Time allowed from connecting to the first request: a round trip and the delay of a busy caller.
- */
+/* Time allowed from connecting to the first request: a round trip plus a busy caller's delay. */
 #define NEW_CONNECTION_GRACE_US 300000
 
 /* One accepted connection. */
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -46,7 +46,7 @@
 void http_server_free(http_server_t *server);
 /** Replace the limits for future requests. */
 void http_server_set_limits(http_server_t *server, const http_server_limits_t *limits);
-/** Number of open connections, now and at its peak. */
+/** The current and the peak number of open connections. */
 uint32_t http_server_connections(const http_server_t *server);
 uint32_t http_server_connections_peak(const http_server_t *server);
 /** The serial number of the newest connection. */
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -206,7 +206,7 @@
 {
 	struct lws_context_creation_info info = {
 		.port = CONTEXT_PORT_NO_LISTEN,
-		/* Where IPv6 is unavailable, a context that may use it opens no socket. */
+		/* With IPv6 enabled, a context opens no socket on a machine without IPv6. */
 		.options = LWS_SERVER_OPTION_EXPLICIT_VHOSTS | LWS_SERVER_OPTION_DISABLE_IPV6,
 		.fd_limit_per_thread = LWS_FD_LIMIT,
 		.timeout_secs = 10,
@@ -319,8 +319,8 @@
 
 /*
  * After a halt of the machine the process continues as if nothing had happened: it would send work
- * to searchers that left in the meantime. One clock counts the time of a suspension and the other
- * does not; after any other halt the armed timer is late.
+ * to searchers that left in the meantime. CLOCK_BOOTTIME counts the time of a suspension and
+ * CLOCK_MONOTONIC does not; after any other halt the armed timer is late.
  */
 static void check_suspension(loop_t *loop)
 {
--- a/src/net/sock.c
+++ b/src/net/sock.c
@@ -66,7 +66,7 @@
 		sock->ops->ended(sock->ctx, reason);
 }
 
-/* A failed connection attempt may be reported as readable first: then the read returns errno. */
+/* A failed connection attempt may be reported as readable first; the read then sets errno. */
 static sock_close_reason_t reason_of_errno(int error)
 {
 	return error == ECONNREFUSED ? SOCK_REFUSED : SOCK_RESET;
