--- a/src/dogwoodsaddled.c
+++ b/src/dogwoodsaddled.c
@@ -117,7 +117,7 @@
 	uint64_t now = loop_now_us();
 	uint64_t quiet_us = (uint64_t)self->settings->quiet_ms * 1000;
 	bool idle = self->front ? front_task_open(self->front) == 0
-				: caller_task_open(self->callers) == 0 &&
+				: caller_task_open_requests(self->callers) == 0 &&
 					  query_task_idle(self->queries);
 	uint64_t last_us = self->front ? front_task_last_request_us(self->front)
 				       : caller_task_last_request_us(self->callers);
@@ -148,7 +148,7 @@
 	if (self->front) {
 		front_task_leave(self->front);
 	} else {
-		caller_task_leave(self->callers);
+		caller_task_drain(self->callers);
 		peer_task_leave(self->peers);
 	}
 	self->stop_timer = (loop_timer_t){.fire = check_stopped, .ctx = self};
--- a/src/tasks/caller_task.c
+++ b/src/tasks/caller_task.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #define BODY_LIMIT_BYTES 65536
-#define TIMEOUT_MOST_MS 600000
+#define TIMEOUT_MAX_MS 600000
 #define ID_LIMIT 128
 
 struct caller_task_t {
@@ -78,7 +78,7 @@
 
 /* ---- what every request carries ---- */
 
-static bool id_is_plain(const char *id)
+static bool id_is_valid(const char *id)
 {
 	if (!*id || strlen(id) > ID_LIMIT)
 		return false;
@@ -92,7 +92,7 @@
 {
 	const char *id = http_exchange_header(exchange, "request-id");
 
-	if (id && !id_is_plain(id))
+	if (id && !id_is_valid(id))
 		return err_set(err, ERR_VALUE,
 			       "Request-Id must be 1 to %d of letters, digits, '-', '_' and '.'",
 			       ID_LIMIT);
@@ -101,7 +101,7 @@
 	return true;
 }
 
-static bool take_class(http_exchange_t *exchange, request_t *request, err_t *err)
+static bool read_class(http_exchange_t *exchange, request_t *request, err_t *err)
 {
 	const char *text = http_exchange_header(exchange, "request-class");
 
@@ -112,16 +112,16 @@
 	return true;
 }
 
-static bool take_deadline(http_exchange_t *exchange, const service_t *service, request_t *request,
+static bool read_deadline(http_exchange_t *exchange, const service_t *service, request_t *request,
 			  err_t *err)
 {
 	const char *text = http_exchange_header(exchange, "request-timeout-ms");
 	guint64 timeout_ms = service->timeout_us / 1000;
 
-	if (text && !g_ascii_string_to_unsigned(text, 10, 1, TIMEOUT_MOST_MS, &timeout_ms, NULL))
+	if (text && !g_ascii_string_to_unsigned(text, 10, 1, TIMEOUT_MAX_MS, &timeout_ms, NULL))
 		return err_set(err, ERR_VALUE,
 			       "Request-Timeout-Ms must be a whole number from 1 to %d",
-			       TIMEOUT_MOST_MS);
+			       TIMEOUT_MAX_MS);
 	request->deadline_us = loop_now_us() + MIN(timeout_ms * 1000, service->timeout_us);
 	return true;
 }
@@ -152,8 +152,8 @@
 
 	request->service = g_strdup(service->name);
 	request->kind = service->kind;
-	if (take_id(task, exchange, request, &err) && take_class(exchange, request, &err) &&
-	    take_deadline(exchange, service, request, &err) &&
+	if (take_id(task, exchange, request, &err) && read_class(exchange, request, &err) &&
+	    read_deadline(exchange, service, request, &err) &&
 	    route->parse(exchange, id, request, &err)) {
 		submit(task, exchange, request);
 		return;
@@ -289,12 +289,12 @@
 	return NULL;
 }
 
-void caller_task_leave(caller_task_t *task)
+void caller_task_drain(caller_task_t *task)
 {
 	http_server_leave(task->server);
 }
 
-uint32_t caller_task_open(const caller_task_t *task)
+uint32_t caller_task_open_requests(const caller_task_t *task)
 {
 	return http_server_open_exchanges(task->server);
 }
--- a/src/tasks/caller_task.h
+++ b/src/tasks/caller_task.h
@@ -12,8 +12,8 @@
 /** NULL when the address can't be listened on. */
 caller_task_t *caller_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries);
 /** A planned stop begins: answers tell callers to close, new requests are still served. */
-void caller_task_leave(caller_task_t *task);
-uint32_t caller_task_open(const caller_task_t *task);
+void caller_task_drain(caller_task_t *task);
+uint32_t caller_task_open_requests(const caller_task_t *task);
 /** When the last request arrived. */
 uint64_t caller_task_last_request_us(const caller_task_t *task);
 
