--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -108,7 +108,7 @@
 
 /* ---- proposing a configuration ---- */
 
-static void on_proposed(void *ctx, const config_outcome_t *outcome)
+static void on_proposed(void *ctx, const config_proposal_result_t *outcome)
 {
 	http_exchange_t *exchange = ctx;
 	g_autofree char *detail = NULL;
--- a/src/tasks/config_task.c
+++ b/src/tasks/config_task.c
@@ -4,10 +4,10 @@
  */
 #include "tasks/config_task.h"
 
-#define RETRY_LEAST_US 200000
+#define RETRY_MIN_US 200000
 #define RETRY_MOST_US 1000000
-#define ASK_LEAST_US 3000000
-#define ASK_MOST_US 5000000
+#define PERIODIC_READ_MIN_US 3000000
+#define PERIODIC_READ_MAX_US 5000000
 
 struct config_task_t {
 	loop_t *loop;
@@ -32,7 +32,7 @@
 
 static void watch(void *ctx);
 
-static void note_cut(config_task_t *task, bool cut_off)
+static void note_unreachable(config_task_t *task, bool cut_off)
 {
 	if (task->cut_off != cut_off)
 		timeline_add(task->timeline, "event=platform-%s", cut_off ? "lost" : "back");
@@ -44,25 +44,26 @@
 	config_task_t *task = ctx;
 	uint64_t delay_us = 0;
 
-	note_cut(task, result->end == PLATFORM_UNKNOWN);
+	note_unreachable(task, result->end == PLATFORM_UNKNOWN);
 	if (result->end == PLATFORM_OK)
 		query_task_offer_config(task->queries, result->version, json_incref(result->value));
 	/* Jitter: after an outage all VMs would otherwise come back in the same moment. */
 	if (result->end == PLATFORM_UNKNOWN || result->end == PLATFORM_ABSENT)
-		delay_us = (uint64_t)g_rand_double_range(task->rand, RETRY_LEAST_US, RETRY_MOST_US);
+		delay_us = (uint64_t)g_rand_double_range(task->rand, RETRY_MIN_US, RETRY_MOST_US);
 	loop_timer_set(task->loop, &task->retry, delay_us);
 }
 
 /* Peers bring the news; this is for those whom no peer reaches. */
-static void on_read_now_and_then(void *ctx, const platform_result_t *result)
+static void on_periodic_read(void *ctx, const platform_result_t *result)
 {
 	config_task_t *task = ctx;
 
-	note_cut(task, result->end == PLATFORM_UNKNOWN);
+	note_unreachable(task, result->end == PLATFORM_UNKNOWN);
 	if (result->end == PLATFORM_OK)
 		query_task_offer_config(task->queries, result->version, json_incref(result->value));
 	loop_timer_set(task->loop, &task->retry,
-		       (uint64_t)g_rand_double_range(task->rand, ASK_LEAST_US, ASK_MOST_US));
+		       (uint64_t)g_rand_double_range(task->rand, PERIODIC_READ_MIN_US,
+						     PERIODIC_READ_MAX_US));
 }
 
 /* The number is read when the watch starts, after the offer above has been taken in. */
@@ -73,7 +74,7 @@
 	/* Before the first configuration there is nothing to lose by asking. */
 	if (task->watches && adoption_number(query_task_adoption(task->queries)) &&
 	    !task->watches(task->watches_ctx))
-		platform_task_read(task->platform, CONFIG_PATH, on_read_now_and_then, task);
+		platform_task_read(task->platform, CONFIG_PATH, on_periodic_read, task);
 	else
 		platform_task_watch(task->platform, CONFIG_PATH,
 				    adoption_number(query_task_adoption(task->queries)), on_watch,
@@ -141,7 +142,7 @@
 {
 	pending_t *pending = ctx;
 	config_task_t *task = pending->task;
-	const config_outcome_t outcome = {.end = end, .number = number, .other = other};
+	const config_proposal_result_t outcome = {.end = end, .number = number, .other = other};
 
 	timeline_add(task->timeline, "event=config-proposal end=%s number=%" G_GUINT64_FORMAT,
 		     end == PROPOSAL_ACCEPTED	? "accepted"
--- a/src/tasks/config_task.h
+++ b/src/tasks/config_task.h
@@ -13,13 +13,13 @@
 typedef struct config_task_t config_task_t;
 
 /** How a proposal ended; strings are borrowed. */
-typedef struct config_outcome_t {
+typedef struct config_proposal_result_t {
 	proposal_end_t end;
 	uint64_t number;
 	const char *other;
-} config_outcome_t;
+} config_proposal_result_t;
 
-typedef void (*config_done_f)(void *ctx, const config_outcome_t *outcome);
+typedef void (*config_done_f)(void *ctx, const config_proposal_result_t *outcome);
 
 config_task_t *config_task_new(loop_t *loop, platform_task_t *platform, query_task_t *queries,
 			       timeline_t *timeline);
