--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -11,13 +11,13 @@
 
 /* Objects that subscribers have asked for and not been told; more are dropped, and asked for again.
  */
-#define ASKED_MOST 256
+#define OBJECT_REQUESTS_MAX 256
 
 struct feed_server_t {
 	loop_t *loop;
 	uint32_t link_mbps;
-	GQueue asked; /* asked_t */
-	loop_timer_t asked_timer;
+	GQueue asked; /* object_request_t */
+	loop_timer_t request_timer;
 	feed_book_t **books; /* by kind */
 	uint32_t kinds;
 	GPtrArray *subscribers; /* subscriber_t */
@@ -33,43 +33,43 @@
 } subscriber_t;
 
 /** An object that a subscriber can't read from the store. */
-typedef struct asked_t {
+typedef struct object_request_t {
 	subscriber_t *subscriber;
 	uint32_t kind;
 	char *name;
-} asked_t;
+} object_request_t;
 
-static void asked_free(asked_t *asked)
+static void object_request_free(object_request_t *asked)
 {
 	g_free(asked->name);
 	g_free(asked);
 }
 
-static void drop_asked(feed_server_t *server, const subscriber_t *subscriber)
+static void drop_object_requests(feed_server_t *server, const subscriber_t *subscriber)
 {
 	GList *next;
 
 	for (GList *item = server->asked.head; item; item = next) {
-		asked_t *asked = item->data;
+		object_request_t *asked = item->data;
 
 		next = item->next;
 		if (asked->subscriber != subscriber)
 			continue;
 		g_queue_delete_link(&server->asked, item);
-		asked_free(asked);
+		object_request_free(asked);
 	}
 }
 
 static void subscriber_free(subscriber_t *subscriber)
 {
-	drop_asked(subscriber->server, subscriber);
+	drop_object_requests(subscriber->server, subscriber);
 	g_ptr_array_remove_fast(subscriber->server->subscribers, subscriber);
 	framing_reader_free(subscriber->reader);
 	g_free(subscriber);
 }
 
-static void write_to_others(const feed_server_t *server, const subscriber_t *but,
-			    const GByteArray *frames)
+static void write_to_subscribers(const feed_server_t *server, const subscriber_t *but,
+				 const GByteArray *frames)
 {
 	for (guint i = 0; i < server->subscribers->len; i++) {
 		subscriber_t *subscriber = g_ptr_array_index(server->subscribers, i);
@@ -79,20 +79,21 @@
 	}
 }
 
-static void hand_on(feed_server_t *server, const subscriber_t *from, const feed_message_t *message)
+static void relay_message(feed_server_t *server, const subscriber_t *from,
+			  const feed_message_t *message)
 {
 	if (!server->subscribers->len)
 		return;
 	g_byte_array_set_size(server->frame, 0);
 	feed_message_write(server->frame, message);
-	write_to_others(server, from, server->frame);
+	write_to_subscribers(server, from, server->frame);
 }
 
 /* One after the other: what goes to them holds up this VM's own requests. */
-static void tell_asked(void *ctx)
+static void send_requested_object(void *ctx)
 {
 	feed_server_t *server = ctx;
-	asked_t *asked = g_queue_pop_head(&server->asked);
+	object_request_t *asked = g_queue_pop_head(&server->asked);
 	feed_message_t message;
 	size_t bytes = 0;
 
@@ -104,14 +105,15 @@
 		sock_write(asked->subscriber->sock, server->frame->data, server->frame->len);
 		bytes = server->frame->len;
 	}
-	asked_free(asked);
-	loop_timer_set(server->loop, &server->asked_timer, feed_pause_us(bytes, server->link_mbps));
+	object_request_free(asked);
+	loop_timer_set(server->loop, &server->request_timer,
+		       feed_pause_us(bytes, server->link_mbps));
 }
 
-static bool is_asked(const subscriber_t *subscriber, const feed_message_t *message)
+static bool is_requested(const subscriber_t *subscriber, const feed_message_t *message)
 {
 	for (const GList *item = subscriber->server->asked.head; item; item = item->next) {
-		const asked_t *asked = item->data;
+		const object_request_t *asked = item->data;
 
 		if (asked->subscriber == subscriber && asked->kind == message->kind &&
 		    g_str_equal(asked->name, message->name))
@@ -120,20 +122,20 @@
 	return false;
 }
 
-static void take_asked(subscriber_t *subscriber, const feed_message_t *message)
+static void enqueue_object_request(subscriber_t *subscriber, const feed_message_t *message)
 {
 	feed_server_t *server = subscriber->server;
-	asked_t *asked;
+	object_request_t *asked;
 
-	if (message->kind >= server->kinds || server->asked.length >= ASKED_MOST ||
-	    is_asked(subscriber, message))
+	if (message->kind >= server->kinds || server->asked.length >= OBJECT_REQUESTS_MAX ||
+	    is_requested(subscriber, message))
 		return;
-	asked = g_new(asked_t, 1);
-	*asked = (asked_t){
+	asked = g_new(object_request_t, 1);
+	*asked = (object_request_t){
 		.subscriber = subscriber, .kind = message->kind, .name = g_strdup(message->name)};
 	g_queue_push_tail(&server->asked, asked);
-	if (!server->asked_timer.entry.heap_position)
-		tell_asked(server);
+	if (!server->request_timer.entry.heap_position)
+		send_requested_object(server);
 }
 
 static void on_message(void *ctx, const feed_message_t *message)
@@ -142,7 +144,7 @@
 	feed_server_t *server = subscriber->server;
 
 	if (message->type == FEED_ASK) {
-		take_asked(subscriber, message);
+		enqueue_object_request(subscriber, message);
 		return;
 	}
 	if (message->type != FEED_SIGHTING) {
@@ -150,7 +152,7 @@
 		return;
 	}
 	server->ops->heard(server->ctx, message);
-	hand_on(server, subscriber, message);
+	relay_message(server, subscriber, message);
 }
 
 static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
@@ -204,7 +206,7 @@
 
 	server->loop = loop;
 	server->link_mbps = link_mbps;
-	server->asked_timer = (loop_timer_t){.fire = tell_asked, .ctx = server};
+	server->request_timer = (loop_timer_t){.fire = send_requested_object, .ctx = server};
 	server->ops = ops;
 	server->ctx = ctx;
 	server->kinds = kinds;
@@ -221,7 +223,7 @@
 	return NULL;
 }
 
-void feed_server_tell(feed_server_t *server, const feed_message_t *message)
+void feed_server_publish(feed_server_t *server, const feed_message_t *message)
 {
 	feed_message_t told = *message;
 
@@ -229,12 +231,12 @@
 		feed_book_take(server->books[message->kind], message);
 	if (message->type == FEED_CHANGED)
 		told.text = "";
-	hand_on(server, NULL, &told);
+	relay_message(server, NULL, &told);
 }
 
 void feed_server_write(feed_server_t *server, const GByteArray *frames)
 {
-	write_to_others(server, NULL, frames);
+	write_to_subscribers(server, NULL, frames);
 }
 
 uint32_t feed_server_subscribers(const feed_server_t *server)
--- a/src/tasks/feed_server.h
+++ b/src/tasks/feed_server.h
@@ -28,7 +28,7 @@
 feed_server_t *feed_server_new(loop_t *loop, const char *address, uint16_t port, uint32_t kinds,
 			       uint32_t link_mbps, const feed_server_ops_t *ops, void *ctx);
 /** Keep @p message, and send it to all subscribers. */
-void feed_server_tell(feed_server_t *server, const feed_message_t *message);
+void feed_server_publish(feed_server_t *server, const feed_message_t *message);
 /** Send whole frames to all subscribers. */
 void feed_server_write(feed_server_t *server, const GByteArray *frames);
 /** VMs that are told what this one knows. */
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -126,7 +126,7 @@
 				   .name = object ? object->name : "",
 				   .text = text ? text : "",
 				   .era = platform_task_era(task->platform)};
-	feed_server_tell(task->server, &message);
+	feed_server_publish(task->server, &message);
 	free(text);
 }
 
@@ -487,7 +487,7 @@
 	supply_task_t *task = ctx;
 	const feed_message_t message = news_of(task);
 
-	feed_server_tell(task->server, &message);
+	feed_server_publish(task->server, &message);
 	loop_timer_set(task->loop, &task->news_timer, NEWS_PERIOD_US);
 }
 
