--- a/src/tasks/follower.c
+++ b/src/tasks/follower.c
@@ -26,20 +26,20 @@
  * before anything new is asked; taken for a page of the list it would drop every searcher, and
  * every request would be refused until searchers change.
  */
-void follower_list_anew(follower_t *follower)
+void follower_restart_list(follower_t *follower)
 {
 	follower_cancel(follower);
 	g_clear_pointer(&follower->after, g_free);
 }
 
-static void give_objects(follower_t *follower, const store_page_t *page)
+static void pass_objects(follower_t *follower, const store_page_t *page)
 {
 	for (guint i = 0; i < page->objects->len; i++)
 		follower->ops->object(follower->ctx,
 				      &g_array_index(page->objects, store_object_t, i));
 }
 
-static hearing_end_t take_list_page(follower_t *follower, const store_page_t *page)
+static hearing_end_t apply_list_page(follower_t *follower, const store_page_t *page)
 {
 	const store_object_t *last;
 
@@ -48,7 +48,7 @@
 		follower->since = page->as_of;
 		follower->ops->list_begin(follower->ctx);
 	}
-	give_objects(follower, page);
+	pass_objects(follower, page);
 	g_clear_pointer(&follower->after, g_free);
 	if (page->more && page->objects->len) {
 		last = &g_array_index(page->objects, store_object_t, page->objects->len - 1);
@@ -59,9 +59,9 @@
 	return HEARING_LISTED;
 }
 
-static hearing_end_t take_events(follower_t *follower, const store_page_t *page)
+static hearing_end_t apply_changes(follower_t *follower, const store_page_t *page)
 {
-	give_objects(follower, page);
+	pass_objects(follower, page);
 	follower->since = MAX(follower->since, page->as_of);
 	return page->objects->len ? HEARING_CHANGED : HEARING_HEARD;
 }
@@ -79,7 +79,7 @@
 		return HEARING_GONE;
 	}
 	if (result->status == 200 && store_read_page(result->body, &page))
-		end = lists ? take_list_page(follower, &page) : take_events(follower, &page);
+		end = lists ? apply_list_page(follower, &page) : apply_changes(follower, &page);
 	store_page_clear(&page);
 	return end;
 }
@@ -120,7 +120,7 @@
 		platform_task_abandon(follower->platform, fetch);
 }
 
-void follower_ask(follower_t *follower, const hearing_call_t *call)
+void follower_call(follower_t *follower, const hearing_call_t *call)
 {
 	g_autofree char *target =
 		call->list ? store_list_target(follower->kind, follower->after)
--- a/src/tasks/follower.h
+++ b/src/tasks/follower.h
@@ -27,10 +27,10 @@
 follower_t *follower_new(platform_task_t *platform, store_kind_t kind, const follower_ops_t *ops,
 			 void *ctx);
 /** One call; one that is out counts no more. */
-void follower_ask(follower_t *follower, const hearing_call_t *call);
+void follower_call(follower_t *follower, const hearing_call_t *call);
 /** The call that is out counts no more: `ended` does not follow. */
 void follower_cancel(follower_t *follower);
 /** The list is read from its start. */
-void follower_list_anew(follower_t *follower);
+void follower_restart_list(follower_t *follower);
 
 #endif
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -168,7 +168,7 @@
 
 static void on_ask(void *ctx, uint32_t kind, const hearing_call_t *call)
 {
-	follower_ask(((supply_task_t *)ctx)->kinds[kind].follower, call);
+	follower_call(((supply_task_t *)ctx)->kinds[kind].follower, call);
 }
 
 static void on_cancel(void *ctx, uint32_t kind)
@@ -178,7 +178,7 @@
 
 static void on_list_anew(void *ctx, uint32_t kind)
 {
-	follower_list_anew(((supply_task_t *)ctx)->kinds[kind].follower);
+	follower_restart_list(((supply_task_t *)ctx)->kinds[kind].follower);
 }
 
 /* What the look has read is in force at once; another feeder, or the store, tells the rest. */
