--- a/src/tasks/member_task.c
+++ b/src/tasks/member_task.c
@@ -12,11 +12,11 @@
 #define CALL_TIMEOUT_US 1500000
 /* All VMs of a new deployment register within the first seconds; later on, new ones are rare, and a
  * read that may be old costs a tenth of a call. */
-#define LIST_FIRST_US 1500000
-#define LIST_FIRST_TIMES 4
+#define INITIAL_LIST_PERIOD_US 1500000
+#define INITIAL_LISTS 4
 /* VMs of a new deployment start within 0.3 s of each other, and a call takes up to 0.1 s. */
-#define OTHERS_REGISTER_US 600000
-#define LIST_LATER_US 12000000
+#define OTHERS_REGISTER_DELAY_US 600000
+#define LIST_PERIOD_US 12000000
 /* Between tries at the start, doubled each time. A VM that starts knows nothing until the store
  * answers, and refuses everything: after a loss of all VMs during an outage, whatever lies between
  * two tries is lost of the store's return. */
@@ -25,8 +25,8 @@
 #define STATUS_EXISTS 409
 /* After the store came back from a copy: VMs that it has lost register again within the first, each
  * at a moment of its own, and count as registered for the second. */
-#define REWRITE_MOST_US 4000000
-#define REWRITTEN_US 30000000
+#define REREGISTER_MAX_US 4000000
+#define LOST_VM_GRACE_US 30000000
 
 struct member_task_t {
 	loop_t *loop;
@@ -69,7 +69,7 @@
 	if (done) {
 		g_message("event=registered vm=%s outcome=written", task->own->name);
 		task->registered = true;
-		loop_timer_set(task->loop, &task->list_timer, OTHERS_REGISTER_US);
+		loop_timer_set(task->loop, &task->list_timer, OTHERS_REGISTER_DELAY_US);
 		return;
 	}
 	task->exists = exists;
@@ -77,7 +77,7 @@
 	loop_timer_set(task->loop, &task->register_timer, exists ? 0 : retry_delay_us(task));
 }
 
-static void put_own(void *ctx)
+static void register_own(void *ctx)
 {
 	member_task_t *task = ctx;
 	g_autofree char *body = store_write_vm(task->own);
@@ -92,7 +92,7 @@
  * The list says whether there is anything to write. When all VMs of a fleet start again, each would
  * otherwise make two calls for what stands there already.
  */
-static void look_for_own(member_task_t *task, const vm_t *listed)
+static void check_registration(member_task_t *task, const vm_t *listed)
 {
 	if (listed && vm_equal(listed, task->own)) {
 		g_message("event=registered vm=%s outcome=found", task->own->name);
@@ -100,7 +100,7 @@
 		return;
 	}
 	task->exists = listed != NULL;
-	put_own(task);
+	register_own(task);
 }
 
 /* ---- the others ---- */
@@ -130,7 +130,7 @@
 	task->lists++;
 	task->ops->changed(task->ctx);
 	loop_timer_set(task->loop, &task->list_timer,
-		       task->lists < LIST_FIRST_TIMES ? LIST_FIRST_US : LIST_LATER_US);
+		       task->lists < INITIAL_LISTS ? INITIAL_LIST_PERIOD_US : LIST_PERIOD_US);
 }
 
 static const char *name_at(const GPtrArray *vms, guint index)
@@ -139,7 +139,7 @@
 }
 
 /* The store lists by name. */
-static bool has_all(const GPtrArray *vms, const GPtrArray *former)
+static bool contains_all(const GPtrArray *vms, const GPtrArray *former)
 {
 	guint next = 0;
 
@@ -154,14 +154,14 @@
 
 /* What cold searchers are sent rests on lists that only grow: one that has lost a VM starts the
  * wait anew. */
-static void note_list(member_task_t *task, const GPtrArray *former)
+static void update_list_times(member_task_t *task, const GPtrArray *former)
 {
 	uint64_t now_us = loop_now_us();
 
 	task->listed_us = task->asked_us;
 	if (!vm_find(task->vms, task->own->name))
 		task->member_us = 0;
-	else if (!task->member_us || !has_all(task->vms, former))
+	else if (!task->member_us || !contains_all(task->vms, former))
 		task->member_us = now_us;
 }
 
@@ -174,9 +174,9 @@
  * VMs that a restored store has lost are about to register again. Without them each of the others
  * would take a larger share of the searchers' connections and of the retries.
  */
-static void keep_lost(member_task_t *task, const GPtrArray *former)
+static void retain_missing(member_task_t *task, const GPtrArray *former)
 {
-	if (!task->restored_us || loop_now_us() > task->restored_us + REWRITTEN_US)
+	if (!task->restored_us || loop_now_us() > task->restored_us + LOST_VM_GRACE_US)
 		return;
 	for (guint i = 0; i < former->len; i++) {
 		const vm_t *vm = g_ptr_array_index(former, i);
@@ -196,12 +196,12 @@
 
 	task->vms = task->reading;
 	task->reading = former;
-	keep_lost(task, former);
-	note_list(task, former);
+	retain_missing(task, former);
+	update_list_times(task, former);
 	g_ptr_array_set_size(former, 0);
 	if (!task->registered) {
 		task->ops->answered(task->ctx, true);
-		look_for_own(task, listed);
+		check_registration(task, listed);
 	}
 	if (task->registered)
 		tell(task);
@@ -261,7 +261,7 @@
 	task->vms = g_ptr_array_new_with_free_func(vm_free);
 	task->reading = g_ptr_array_new_with_free_func(vm_free);
 	task->list_timer = (loop_timer_t){.fire = list, .ctx = task};
-	task->register_timer = (loop_timer_t){.fire = put_own, .ctx = task};
+	task->register_timer = (loop_timer_t){.fire = register_own, .ctx = task};
 	list(task);
 	return task;
 }
@@ -271,7 +271,7 @@
 	task->restored_us = loop_now_us();
 	task->registered = false;
 	loop_timer_set(task->loop, &task->list_timer,
-		       (uint64_t)g_random_int_range(0, REWRITE_MOST_US));
+		       (uint64_t)g_random_int_range(0, REREGISTER_MAX_US));
 }
 
 const GPtrArray *member_task_vms(const member_task_t *task)
