--- a/src/tasks/peer_task.c
+++ b/src/tasks/peer_task.c
@@ -11,7 +11,7 @@
 
 #define EXCHANGE_TIMEOUT_US 1000000
 #define READ_LIMIT_BYTES (FRAME_LIMIT_BYTES + FRAME_LENGTH_BYTES)
-#define EXCHANGES_MOST 64
+#define EXCHANGES_MAX 64
 
 struct peer_task_t {
 	loop_t *loop;
@@ -130,7 +130,7 @@
 }
 
 /* -1 closes the connection: it is done with, or what came is not to be trusted. */
-static int take_frame(exchange_t *exchange, size_t bytes)
+static int process_frame(exchange_t *exchange, size_t bytes)
 {
 	peer_task_t *task = exchange->task;
 	gossip_message_t *message =
@@ -152,7 +152,7 @@
 	return exchange->dialled ? -1 : 0;
 }
 
-static int on_bytes(exchange_t *exchange, const uint8_t *data, size_t bytes)
+static int on_received_bytes(exchange_t *exchange, const uint8_t *data, size_t bytes)
 {
 	size_t whole;
 
@@ -164,7 +164,7 @@
 		timeline_add(exchange->task->timeline, "event=peer-rejected reason=length");
 		return -1;
 	}
-	return exchange->in->len == whole ? take_frame(exchange, whole) : 0;
+	return exchange->in->len == whole ? process_frame(exchange, whole) : 0;
 }
 
 static int on_event(struct lws *wsi, enum lws_callback_reasons reason, void *user, void *in,
@@ -177,7 +177,7 @@
 	(void)user;
 	switch (reason) {
 	case LWS_CALLBACK_RAW_ADOPT:
-		if (!task || task->open >= EXCHANGES_MOST)
+		if (!task || task->open >= EXCHANGES_MAX)
 			return -1;
 		exchange = exchange_new(task, false);
 		exchange->wsi = wsi;
@@ -193,7 +193,7 @@
 	case LWS_CALLBACK_RAW_WRITEABLE:
 		return exchange ? write_frame(exchange) : -1;
 	case LWS_CALLBACK_RAW_RX:
-		return exchange ? on_bytes(exchange, in, len) : -1;
+		return exchange ? on_received_bytes(exchange, in, len) : -1;
 	case LWS_CALLBACK_CLIENT_CONNECTION_ERROR:
 	case LWS_CALLBACK_RAW_CLOSE:
 	case LWS_CALLBACK_WSI_DESTROY:
