--- a/src/tasks/follower.c
+++ b/src/tasks/follower.c
@@ -117,7 +117,7 @@
 	fetch_t *fetch = g_steal_pointer(&follower->fetch);
 
 	if (fetch)
-		platform_task_abandon(follower->platform, fetch);
+		platform_task_cancel(follower->platform, fetch);
 }
 
 void follower_call(follower_t *follower, const hearing_call_t *call)
--- a/src/tasks/platform_task.c
+++ b/src/tasks/platform_task.c
@@ -12,12 +12,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define CALL_SLOTS PLATFORM_FETCHES_MOST
+#define CALL_SLOTS PLATFORM_FETCHES_MAX
 #define CALL_TIMEOUT_US 1000000
 #define WATCH_MS 4000
 /* A watch whose connection went silent must not hide changes: past its own time it is given up. */
 #define WATCH_GRACE_US 1500000
-#define PENDING_MOST 1024
+#define PENDING_CALLS_MAX 1024
 
 typedef struct platform_call_t {
 	platform_task_t *task;
@@ -72,7 +72,7 @@
 	g_free(call);
 }
 
-static platform_end_t end_of_status(int status)
+static platform_end_t end_from_status(int status)
 {
 	switch (status) {
 	case 200:
@@ -107,7 +107,7 @@
 	task->restored_ctx = ctx;
 }
 
-store_era_change_t platform_task_take_era(platform_task_t *task, uint64_t number)
+store_era_change_t platform_task_observe_era(platform_task_t *task, uint64_t number)
 {
 	store_era_change_t news = store_era_observe(&task->era, number);
 
@@ -140,7 +140,7 @@
 		g_warning("event=store-era-ignored reason=\"%s\"", err.text);
 		return true;
 	}
-	if (platform_task_take_era(task, era) != STORE_ERA_OLDER)
+	if (platform_task_observe_era(task, era) != STORE_ERA_OLDER)
 		return true;
 	task->counters.outdated++;
 	return false;
@@ -179,7 +179,7 @@
 		result.status = http_call_status(http);
 		result.body = body;
 		if (json_is_object(body))
-			result.end = end_of_status(http_call_status(http));
+			result.end = end_from_status(http_call_status(http));
 		result.version = (uint64_t)json_integer_value(json_object_get(body, "version"));
 		result.value = json_object_get(body, "value");
 	}
@@ -251,7 +251,7 @@
 		start(call);
 		return;
 	}
-	if (task->pending.length >= PENDING_MOST) {
+	if (task->pending.length >= PENDING_CALLS_MAX) {
 		const platform_result_t result = {.end = PLATFORM_UNKNOWN,
 						  .reach = PLATFORM_NOT_SENT};
 
@@ -292,7 +292,7 @@
 				      .timeout_us = timeout_us});
 }
 
-void platform_task_abandon(platform_task_t *task, const void *ctx)
+void platform_task_cancel(platform_task_t *task, const void *ctx)
 {
 	for (int slot = 0; slot < CALL_SLOTS; slot++)
 		if (task->slots[slot] && task->slots[slot]->ctx == ctx)
--- a/src/tasks/platform_task.h
+++ b/src/tasks/platform_task.h
@@ -10,7 +10,7 @@
 #include "net/loop.h"
 
 /** Four lists being followed, and room for a read of each beside a watch that hangs. */
-#define PLATFORM_FETCHES_MOST 8
+#define PLATFORM_FETCHES_MAX 8
 
 typedef struct platform_task_t platform_task_t;
 
@@ -39,12 +39,12 @@
 			 platform_done_f done, void *ctx);
 /**
  * Get any target of the platform's store; @p done reads status and body itself. Several may be
- * under way at once, up to PLATFORM_FETCHES_MOST; more wait.
+ * under way at once, up to PLATFORM_FETCHES_MAX; more wait.
  */
 void platform_task_fetch(platform_task_t *task, const char *target, uint64_t timeout_us,
 			 platform_done_f done, void *ctx);
 /** Give the fetch with @p ctx up, and its connection; `done` follows. */
-void platform_task_abandon(platform_task_t *task, const void *ctx);
+void platform_task_cancel(platform_task_t *task, const void *ctx);
 /** As platform_task_fetch(), with another method and a JSON body. */
 void platform_task_send(platform_task_t *task, const char *method, const char *target,
 			const char *body, uint64_t timeout_us, platform_done_f done, void *ctx);
@@ -52,7 +52,7 @@
  * says so is handed on. */
 void platform_task_set_restored(platform_task_t *task, void (*restored)(void *ctx), void *ctx);
 /** Another VM has heard of the store's era @p number. */
-store_era_change_t platform_task_take_era(platform_task_t *task, uint64_t number);
+store_era_change_t platform_task_observe_era(platform_task_t *task, uint64_t number);
 /** The latest era heard of; 0 before any is. */
 uint64_t platform_task_era(const platform_task_t *task);
 const platform_counters_t *platform_task_counters(const platform_task_t *task);
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -345,7 +345,7 @@
 	/* Of a feeder that has not heard yet that the store is another one: its next list will be
 	 * of this one, or its news grow too old. */
 	if (message->type != FEED_SIGHTING &&
-	    platform_task_take_era(task->platform, message->era) == STORE_ERA_OLDER)
+	    platform_task_observe_era(task->platform, message->era) == STORE_ERA_OLDER)
 		return;
 	if (message->type == FEED_NEWS)
 		take_news(own, message);
