--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -135,7 +135,7 @@
 
 static void serve_propose(admin_task_t *task, http_exchange_t *exchange)
 {
-	const adoption_t *adoption = query_task_adoption(task->source->queries);
+	const adoption_t *adoption = query_task_active_config(task->source->queries);
 	err_t err = {0};
 	propose_t *propose = propose_parse(http_exchange_body(exchange), &err);
 	g_autofree char *detail = NULL;
@@ -170,7 +170,7 @@
 {
 	const query_task_t *queries = task->source->queries;
 	err_t err = {0};
-	plan_t *plan = intent_plan(http_exchange_body(exchange), query_task_adoption(queries),
+	plan_t *plan = intent_plan(http_exchange_body(exchange), query_task_active_config(queries),
 				   query_task_engine(queries), &err);
 
 	if (!plan) {
@@ -186,8 +186,9 @@
 	const query_task_t *queries = task->source->queries;
 	g_autofree char *by = NULL, *id = NULL;
 	err_t err = {0};
-	plan_t *plan = intent_confirm(http_exchange_body(exchange), query_task_adoption(queries),
-				      query_task_engine(queries), &by, &err);
+	plan_t *plan =
+		intent_confirm(http_exchange_body(exchange), query_task_active_config(queries),
+			       query_task_engine(queries), &by, &err);
 
 	if (!plan) {
 		reply_problem(exchange, refusal_of(&err), err.text);
--- a/src/tasks/peer_task.c
+++ b/src/tasks/peer_task.c
@@ -263,7 +263,7 @@
 
 static void do_leaving(void *ctx, const leaving_note_t *note)
 {
-	query_task_told_leaving(((peer_task_t *)ctx)->queries, note->service, note->upstream);
+	query_task_leave_notice(((peer_task_t *)ctx)->queries, note->service, note->upstream);
 }
 
 static const gossip_ops_t gossip_ops = {
@@ -321,7 +321,7 @@
 peer_task_t *peer_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries,
 			   timeline_t *timeline)
 {
-	static const query_task_news_t news = {.config = on_config, .leaving = on_leaving};
+	static const query_task_announce_ops_t news = {.config = on_config, .leaving = on_leaving};
 	peer_task_t *task = g_new0(peer_task_t, 1);
 	const gossip_self_t self = {.name = settings->vm_name,
 				    .data_centre = settings->data_centre,
@@ -341,7 +341,7 @@
 		return NULL;
 	}
 	task->gossip = gossip_new(&gossip_ops, task, &self, timeline);
-	query_task_set_news(queries, &news, task);
+	query_task_set_announce_ops(queries, &news, task);
 	task->tick = (loop_timer_t){.fire = on_tick, .ctx = task};
 	loop_timer_set(loop, &task->tick, 0);
 	return task;
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -14,13 +14,13 @@
 #include <unistd.h>
 
 #define PROBE_PERIOD_US 500000
-#define REFRESH_LEAST_US 50000
+#define REFRESH_MIN_US 50000
 
 struct query_task_t {
 	loop_t *loop;
 	const query_task_ops_t *ops;
 	void *ctx;
-	const query_task_news_t *news; /* NULL before there are peers */
+	const query_task_announce_ops_t *news; /* NULL before there are peers */
 	void *news_ctx;
 	engine_t *engine;
 	claims_t *claims;
@@ -191,7 +191,7 @@
 	uint64_t now = loop_now_us();
 
 	(void)service;
-	if (now - task->refreshed_us < REFRESH_LEAST_US)
+	if (now - task->refreshed_us < REFRESH_MIN_US)
 		return;
 	task->refreshed_us = now;
 	loop_timer_set(task->loop, &task->probe_timer, 0);
@@ -405,15 +405,15 @@
 	loop_post(task->loop, receive_config, task, offer);
 }
 
-typedef struct leaving_message_t {
+typedef struct leave_notice_message_t {
 	char *service;
 	char *upstream;
-} leaving_message_t;
+} leave_notice_message_t;
 
-static void receive_told_leaving(void *self, void *message)
+static void receive_leave_notice(void *self, void *message)
 {
 	query_task_t *task = self;
-	leaving_message_t *told = message;
+	leave_notice_message_t *told = message;
 
 	engine_told_leaving(task->engine, told->service, told->upstream, loop_now_us());
 	g_free(told->service);
@@ -422,15 +422,17 @@
 	arm(task);
 }
 
-void query_task_told_leaving(query_task_t *task, const char *service, const char *upstream)
+void query_task_leave_notice(query_task_t *task, const char *service, const char *upstream)
 {
-	leaving_message_t *told = g_new(leaving_message_t, 1);
+	leave_notice_message_t *told = g_new(leave_notice_message_t, 1);
 
-	*told = (leaving_message_t){.service = g_strdup(service), .upstream = g_strdup(upstream)};
-	loop_post(task->loop, receive_told_leaving, task, told);
+	*told = (leave_notice_message_t){.service = g_strdup(service),
+					 .upstream = g_strdup(upstream)};
+	loop_post(task->loop, receive_leave_notice, task, told);
 }
 
-void query_task_set_news(query_task_t *task, const query_task_news_t *news, void *ctx)
+void query_task_set_announce_ops(query_task_t *task, const query_task_announce_ops_t *news,
+				 void *ctx)
 {
 	task->news = news;
 	task->news_ctx = ctx;
@@ -475,12 +477,12 @@
 	return task->engine;
 }
 
-const adoption_t *query_task_adoption(const query_task_t *task)
+const adoption_t *query_task_active_config(const query_task_t *task)
 {
 	return &task->adoption;
 }
 
-static bool heard_of_searchers(const service_t *service)
+static bool has_searcher_status(const service_t *service)
 {
 	for (guint i = 0; i < service->upstreams->len; i++) {
 		const upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
@@ -499,7 +501,7 @@
 	if (!task->adoption.config)
 		return false;
 	for (guint i = 0; i < services->len; i++)
-		if (!heard_of_searchers(g_ptr_array_index(services, i)))
+		if (!has_searcher_status(g_ptr_array_index(services, i)))
 			return false;
 	return true;
 }
--- a/src/tasks/query_task.h
+++ b/src/tasks/query_task.h
@@ -23,14 +23,15 @@
 void query_task_set_ops(query_task_t *task, const query_task_ops_t *ops, void *ctx);
 
 /** Whom to tell what was found out here, for the peers. */
-typedef struct query_task_news_t {
+typedef struct query_task_announce_ops_t {
 	void (*config)(void *ctx, uint64_t number, json_t *value);
 	void (*leaving)(void *ctx, const char *service, const char *upstream);
-} query_task_news_t;
+} query_task_announce_ops_t;
 
-void query_task_set_news(query_task_t *task, const query_task_news_t *news, void *ctx);
+void query_task_set_announce_ops(query_task_t *task, const query_task_announce_ops_t *news,
+				 void *ctx);
 /** Post that a searcher told another VM that it leaves. */
-void query_task_told_leaving(query_task_t *task, const char *service, const char *upstream);
+void query_task_leave_notice(query_task_t *task, const char *service, const char *upstream);
 
 /** Post a request; both are taken over. */
 void query_task_submit(query_task_t *task, ticket_t *ticket, request_t *request);
@@ -41,7 +42,7 @@
 
 /** For queries by operators and routing by the caller task; read only. */
 const engine_t *query_task_engine(const query_task_t *task);
-const adoption_t *query_task_adoption(const query_task_t *task);
+const adoption_t *query_task_active_config(const query_task_t *task);
 /** Whether this VM can serve: it has a configuration and has heard of searchers. */
 bool query_task_ready(const query_task_t *task);
 /** Whether nothing is under way, so that the process may end. */
