--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -168,7 +168,7 @@
 	    sources->reader.configurations_ignored);
 	put(out, "evacuations", NULL, NULL, sources->reader.evacuations);
 	put(out, "evacuations_ignored_total", NULL, NULL, sources->reader.evacuations_ignored);
-	put(out, "regions_unknown", NULL, NULL, sources->reader.regions_strange);
+	put(out, "regions_unknown", NULL, NULL, sources->reader.regions_unknown);
 	put(out, "searchers", NULL, NULL,
 	    g_hash_table_size(registry_searchers((registry_t *)sources->registry)));
 	put(out, "searcher_entries_ignored_total", NULL, NULL, sources->reader.entries_ignored);
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -552,7 +552,7 @@
 {
 	front_task_t *task = ctx;
 
-	store_reader_take(task->reader, kind, object);
+	store_reader_apply(task->reader, kind, object);
 	arm_forwarder(task);
 }
 
@@ -563,19 +563,19 @@
 
 static void on_store_lost(void *ctx)
 {
-	store_reader_lost(((front_task_t *)ctx)->reader);
+	store_reader_store_lost(((front_task_t *)ctx)->reader);
 }
 
 static void on_store_back(void *ctx)
 {
-	store_reader_back(((front_task_t *)ctx)->reader);
+	store_reader_store_recovered(((front_task_t *)ctx)->reader);
 }
 
 static void on_store_restored(void *ctx, bool watches)
 {
 	front_task_t *task = ctx;
 
-	store_reader_restored(task->reader, watches);
+	store_reader_store_restored(task->reader, watches);
 	arm_forwarder(task);
 }
 
--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -7,7 +7,7 @@
 #include "core/evacuation.h"
 
 /* Names of unreadable entries that are remembered, so that each is logged once. */
-#define UNREADABLE_MOST 256
+#define UNREADABLE_MAX 256
 
 struct store_reader_t {
 	loop_t *loop;
@@ -49,18 +49,18 @@
 /* ---- searchers ---- */
 
 /* One line a name, until it is read again: each list repeats what is wrong. */
-static void say_unreadable(store_reader_t *reader, const char *name, const char *reason)
+static void log_unreadable(store_reader_t *reader, const char *name, const char *reason)
 {
 	g_autofree char *escaped = g_strescape(name, NULL);
 
 	reader->counters.entries_ignored++;
-	if (g_hash_table_size(reader->unreadable) >= UNREADABLE_MOST ||
+	if (g_hash_table_size(reader->unreadable) >= UNREADABLE_MAX ||
 	    !g_hash_table_add(reader->unreadable, g_strdup(name)))
 		return;
 	g_warning("event=searcher-ignored searcher=\"%s\" reason=\"%s\"", escaped, reason);
 }
 
-static void take_searcher(store_reader_t *reader, const store_object_t *object)
+static void apply_searcher(store_reader_t *reader, const store_object_t *object)
 {
 	searcher_entry_t entry;
 	err_t err = {0};
@@ -73,7 +73,7 @@
 		return;
 	}
 	if (!store_read_searcher(object, &entry, &err)) {
-		say_unreadable(reader, object->name, err.text);
+		log_unreadable(reader, object->name, err.text);
 		registry_put_unreadable(reader->registry, object->name);
 		return;
 	}
@@ -94,7 +94,7 @@
 }
 
 /* One that names no data centre is a slip of its operator's: its searchers go on being used. */
-static void take_evacuation(store_reader_t *reader, const store_object_t *object)
+static void apply_evacuation_object(store_reader_t *reader, const store_object_t *object)
 {
 	if (object->removed) {
 		evacuations_remove(reader->evacuations, object->name);
@@ -113,20 +113,20 @@
 /* ---- the configuration ---- */
 
 /* The route is served by nobody: more likely a slip of the operator's than meant. */
-static void say_strange_regions(store_reader_t *reader, const routing_t *routing)
+static void log_unknown_regions(store_reader_t *reader, const routing_t *routing)
 {
 	const route_t *route = NULL;
 	const char *region = NULL;
 
-	reader->counters.regions_strange =
+	reader->counters.regions_unknown =
 		routing_unknown_regions(routing, reader->regions, &route, &region);
-	if (reader->counters.regions_strange)
+	if (reader->counters.regions_unknown)
 		g_warning("event=region-unknown route=%s region=%s in_all=%u outcome=kept",
-			  route->name, region, reader->counters.regions_strange);
+			  route->name, region, reader->counters.regions_unknown);
 }
 
 /* A version once in force is never followed by an older one. */
-static void take_configuration(store_reader_t *reader, const store_object_t *object)
+static void apply_configuration(store_reader_t *reader, const store_object_t *object)
 {
 	const routing_t *current = forwarder_routing(reader->forwarder);
 	routing_t *routing;
@@ -147,7 +147,7 @@
 		routing_unref(routing);
 		return;
 	}
-	say_strange_regions(reader, routing);
+	log_unknown_regions(reader, routing);
 	g_message("event=configuration version=%" G_GUINT64_FORMAT " routes=%u outcome=in-force",
 		  routing->version, routing->routes->len);
 	forwarder_set_routing(reader->forwarder, routing);
@@ -186,14 +186,14 @@
 		evacuations_list_begin(reader->evacuations);
 }
 
-void store_reader_take(store_reader_t *reader, store_kind_t kind, const store_object_t *object)
+void store_reader_apply(store_reader_t *reader, store_kind_t kind, const store_object_t *object)
 {
 	if (kind == STORE_SEARCHERS)
-		take_searcher(reader, object);
+		apply_searcher(reader, object);
 	else if (kind == STORE_CONFIGURATION)
-		take_configuration(reader, object);
+		apply_configuration(reader, object);
 	else if (kind == STORE_EVACUATIONS)
-		take_evacuation(reader, object);
+		apply_evacuation_object(reader, object);
 	else
 		poison_task_take(reader->poison, object, loop_now_us());
 }
@@ -212,19 +212,19 @@
 	}
 }
 
-void store_reader_lost(store_reader_t *reader)
+void store_reader_store_lost(store_reader_t *reader)
 {
 	registry_store_lost(reader->registry);
 }
 
-void store_reader_back(store_reader_t *reader)
+void store_reader_store_recovered(store_reader_t *reader)
 {
 	registry_store_recovered(reader->registry, loop_now_us());
 	run_registry(reader);
 }
 
 /* VMs that watch the store tell it first; the others hear that it is told. */
-void store_reader_restored(store_reader_t *reader, bool watches)
+void store_reader_store_restored(store_reader_t *reader, bool watches)
 {
 	uint64_t now_us = loop_now_us();
 
--- a/src/tasks/store_reader.h
+++ b/src/tasks/store_reader.h
@@ -31,22 +31,22 @@
 	uint64_t entries_ignored;	 /**< reads of entries that name no searcher */
 	uint64_t configurations_ignored; /**< reads of some that can't be read */
 	uint64_t evacuations_ignored;	 /**< reads of some that name no data centre */
-	uint32_t regions_strange;	 /**< that routes are bound to, and no data centre is in */
+	uint32_t regions_unknown;	 /**< that routes are bound to, and no data centre is in */
 	uint32_t evacuations;		 /**< in force */
 } store_reader_counters_t;
 
 store_reader_t *store_reader_new(loop_t *loop, const store_reader_parts_t *parts,
 				 const store_reader_ops_t *ops, void *ctx);
-/** A whole list of @p kind begins; store_reader_take() for each, then store_reader_list_end(). */
+/** A whole list of @p kind begins; store_reader_apply() for each, then store_reader_list_end(). */
 void store_reader_list_begin(store_reader_t *reader, store_kind_t kind);
 /** An object of a list, or one that has changed. */
-void store_reader_take(store_reader_t *reader, store_kind_t kind, const store_object_t *object);
+void store_reader_apply(store_reader_t *reader, store_kind_t kind, const store_object_t *object);
 void store_reader_list_end(store_reader_t *reader, store_kind_t kind);
 /** The store can't be heard, or is heard again. */
-void store_reader_lost(store_reader_t *reader);
-void store_reader_back(store_reader_t *reader);
+void store_reader_store_lost(store_reader_t *reader);
+void store_reader_store_recovered(store_reader_t *reader);
 /** It has come back from a copy. @param watches whether this VM hears it itself */
-void store_reader_restored(store_reader_t *reader, bool watches);
+void store_reader_store_restored(store_reader_t *reader, bool watches);
 store_reader_counters_t store_reader_counters(const store_reader_t *reader);
 
 #endif
