--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -106,13 +106,14 @@
 		put_service(out, pool);
 }
 
-static void put_store(GString *out, const supply_task_t *supply, const platform_counters_t *store)
+static void put_store(GString *out, const store_sync_task_t *supply,
+		      const platform_counters_t *store)
 {
-	put(out, "store_is_fed", NULL, NULL, supply_task_is_fed(supply));
-	put(out, "store_age_us", NULL, NULL, supply_task_age_us(supply));
-	for (uint32_t kind = 0; kind < supply_task_kinds(supply); kind++)
+	put(out, "store_is_fed", NULL, NULL, store_sync_task_is_fed(supply));
+	put(out, "store_age_us", NULL, NULL, store_sync_task_age_us(supply));
+	for (uint32_t kind = 0; kind < store_sync_task_kind_count(supply); kind++)
 		put(out, "store_kind_age_us", "kind", store_kind_name((store_kind_t)kind),
-		    supply_task_kind_age_us(supply, (store_kind_t)kind));
+		    store_sync_task_kind_age_us(supply, (store_kind_t)kind));
 	put(out, "store_calls_total", "kind", "read", store->fetches);
 	put(out, "store_calls_total", "kind", "write", store->writes);
 	for (int reach = PLATFORM_REPLIED + 1; reach < PLATFORM_REACHES; reach++)
@@ -120,7 +121,7 @@
 		    platform_reach_name((platform_reach_t)reach), store->reached[reach]);
 	put(out, "store_calls_unanswered_total", NULL, NULL, store->unknown);
 	put(out, "store_values_damaged_total", NULL, NULL, store->damaged);
-	put(out, "store_era", NULL, NULL, supply_task_era(supply));
+	put(out, "store_era", NULL, NULL, store_sync_task_era(supply));
 	put(out, "store_replies_outdated_total", NULL, NULL, store->outdated);
 	put(out, "store_eras_malformed_total", NULL, NULL, store->eras_malformed);
 }
@@ -172,7 +173,7 @@
 	put(out, "searchers", NULL, NULL,
 	    g_hash_table_size(registry_searchers((registry_t *)sources->registry)));
 	put(out, "searcher_entries_ignored_total", NULL, NULL, sources->reader.entries_ignored);
-	put(out, "vms", NULL, NULL, supply_task_vms(sources->supply)->len);
+	put(out, "vms", NULL, NULL, store_sync_task_vms(sources->supply)->len);
 	put_store(out, sources->supply, sources->store);
 	put_requests(out, sources->forwarder);
 	put_poison(out, forwarder_poison(sources->forwarder));
--- a/src/queries/front_metrics.h
+++ b/src/queries/front_metrics.h
@@ -17,7 +17,7 @@
 	const forwarder_t *forwarder;
 	const registry_t *registry;
 	const link_counters_t *links;
-	const supply_task_t *supply;
+	const store_sync_task_t *supply;
 	const platform_counters_t *store;
 	const handovers_t *handovers;
 	uint32_t hops_open; /**< requests that other VMs have handed over */
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -41,7 +41,7 @@
 	link_task_t *links;
 	gather_task_t *gathers; /* handed over to other VMs */
 	hop_server_t *hops;	/* handed over by other VMs */
-	supply_task_t *supply;
+	store_sync_task_t *supply;
 	poison_task_t *poison;
 	platform_task_t *platform;
 	loop_timer_t forwarder_timer;
@@ -97,7 +97,7 @@
 static void take_fleet(front_task_t *task)
 {
 	const routing_t *routing = forwarder_routing(task->forwarder);
-	const fleet_t fleet = {.vms = supply_task_vms(task->supply),
+	const fleet_t fleet = {.vms = store_sync_task_vms(task->supply),
 			       .regions = task->regions,
 			       .connections =
 				       routing ? routing_min_gather_connections(routing) : 0};
@@ -111,7 +111,7 @@
 static void set_shares(void *ctx)
 {
 	front_task_t *task = ctx;
-	const cold_members_t members = supply_task_cold_members(task->supply);
+	const cold_members_t members = store_sync_task_cold_members(task->supply);
 	GHashTableIter iter;
 	gpointer pool;
 
@@ -224,7 +224,7 @@
 		g_message("event=searcher-hangs searcher=%s after_us=%" G_GUINT64_FORMAT
 			  " outcome=avoided",
 			  sighting->searcher, sighting->after_us);
-	supply_task_tell(task->supply, sighting);
+	store_sync_task_publish(task->supply, sighting);
 }
 
 static void on_sighting(void *ctx, const observation_t *sighting)
@@ -310,7 +310,7 @@
 		answer->reply ? answer->reply->status : forward_outcome_status(answer->outcome);
 
 	front_log_answer(relay->request.id, forward, answer, status,
-			 supply_task_age_us(task->supply));
+			 store_sync_task_age_us(task->supply));
 	if (relay->job)
 		answer_vm(task, relay->job, answer);
 	else
@@ -448,7 +448,7 @@
 				       .retry_after_us = answer->retry_after_us};
 
 	front_log_gathered(&relay->request, relay->handover, &told,
-			   supply_task_age_us(task->supply));
+			   store_sync_task_age_us(task->supply));
 	relay_answer_caller(relay, &told);
 	relay_free(relay);
 }
@@ -459,7 +459,7 @@
 	const routing_t *routing = forwarder_routing(task->forwarder);
 
 	if (routing && routing->version < version)
-		supply_task_read_configuration(task->supply);
+		store_sync_task_read_configuration(task->supply);
 }
 
 /* ---- gathers handed over by other VMs ---- */
@@ -481,7 +481,7 @@
 		return false;
 	}
 	if (routing->version < job->version) {
-		supply_task_read_configuration(task->supply);
+		store_sync_task_read_configuration(task->supply);
 		*reason = HOP_OLDER_CONFIG;
 		return false;
 	}
@@ -682,14 +682,14 @@
 						 .refused = on_refused,
 						 .listens = on_listens,
 						 .room = on_room};
-	static const supply_ops_t supply_ops = {.list_begin = on_list_begin,
-						.object = on_object,
-						.list_end = on_list_end,
-						.lost = on_store_lost,
-						.back = on_store_back,
-						.restored = on_store_restored,
-						.sighting = on_sighting,
-						.members = on_members};
+	static const store_sync_task_ops_t supply_ops = {.list_begin = on_list_begin,
+							 .object = on_object,
+							 .list_end = on_list_end,
+							 .lost = on_store_lost,
+							 .back = on_store_back,
+							 .restored = on_store_restored,
+							 .sighting = on_sighting,
+							 .members = on_members};
 	static const gather_ops_t gather_ops = {
 		.answer = on_gathered, .gather_here = on_gather_here, .newer = on_newer};
 	front_task_t *task = g_new0(front_task_t, 1);
@@ -712,7 +712,7 @@
 	task->fleet_changed = true;
 	if (!listen_all(task, settings))
 		return NULL;
-	task->supply = supply_task_new(loop, settings, platform, &supply_ops, task);
+	task->supply = store_sync_task_new(loop, settings, platform, &supply_ops, task);
 	return task->supply ? task : NULL;
 }
 
@@ -726,7 +726,7 @@
 void front_task_refresh(front_task_t *task)
 {
 	hop_server_stood_still(task->hops);
-	supply_task_refresh(task->supply);
+	store_sync_task_refresh(task->supply);
 	run_forwarder(task);
 }
 
--- a/src/tasks/supply_task.h
+++ b/src/tasks/supply_task.h
@@ -16,9 +16,9 @@
 #include "tasks/member_task.h"
 #include "tasks/platform_task.h"
 
-typedef struct supply_task_t supply_task_t;
+typedef struct store_sync_task_t store_sync_task_t;
 
-typedef struct supply_ops_t {
+typedef struct store_sync_task_ops_t {
 	void (*list_begin)(void *ctx, store_kind_t kind);
 	void (*object)(void *ctx, store_kind_t kind, const store_object_t *object);
 	void (*list_end)(void *ctx, store_kind_t kind);
@@ -32,30 +32,31 @@
 	void (*sighting)(void *ctx, const observation_t *sighting);
 	/** The number of VMs may have changed. */
 	void (*members)(void *ctx);
-} supply_ops_t;
+} store_sync_task_ops_t;
 
 /** NULL when the feed's address can't be listened on. */
-supply_task_t *supply_task_new(loop_t *loop, const settings_t *settings, platform_task_t *platform,
-			       const supply_ops_t *ops, void *ctx);
+store_sync_task_t *store_sync_task_new(loop_t *loop, const settings_t *settings,
+				       platform_task_t *platform, const store_sync_task_ops_t *ops,
+				       void *ctx);
 /** What is known may be old, as after a freeze: read it anew. */
-void supply_task_refresh(supply_task_t *task);
+void store_sync_task_refresh(store_sync_task_t *task);
 /** Another VM knows a later configuration: read it now. */
-void supply_task_read_configuration(supply_task_t *task);
+void store_sync_task_read_configuration(store_sync_task_t *task);
 /** Tell the VMs of this region, soon, if they are so many that it is of use. */
-void supply_task_tell(supply_task_t *task, const observation_t *sighting);
+void store_sync_task_publish(store_sync_task_t *task, const observation_t *sighting);
 /** VMs registered, vm_t; empty until the first list. */
-const GPtrArray *supply_task_vms(const supply_task_t *task);
+const GPtrArray *store_sync_task_vms(const store_sync_task_t *task);
 /** What is known of the VMs with whom cold searchers are shared; borrows. */
-cold_members_t supply_task_cold_members(const supply_task_t *task);
+cold_members_t store_sync_task_cold_members(const store_sync_task_t *task);
 /** Since the store was last heard, by whoever watches it. */
-uint64_t supply_task_age_us(const supply_task_t *task);
+uint64_t store_sync_task_age_us(const store_sync_task_t *task);
 /** The kinds of objects that are supplied: 0 to this. */
-uint32_t supply_task_kinds(const supply_task_t *task);
+uint32_t store_sync_task_kind_count(const store_sync_task_t *task);
 /** Since this VM itself last heard the store of one kind. */
-uint64_t supply_task_kind_age_us(const supply_task_t *task, store_kind_t kind);
+uint64_t store_sync_task_kind_age_us(const store_sync_task_t *task, store_kind_t kind);
 /** The store's era; 0 before any is heard of. */
-uint64_t supply_task_era(const supply_task_t *task);
+uint64_t store_sync_task_era(const store_sync_task_t *task);
 /** Whether another VM feeds this one. */
-bool supply_task_is_fed(const supply_task_t *task);
+bool store_sync_task_is_fed(const store_sync_task_t *task);
 
 #endif
