--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -20,11 +20,11 @@
 	http_server_t *server;
 };
 
-/** One thing that may be asked on the admin address. */
+/** One method and path served on the admin address. */
 typedef struct admin_route_t {
 	const char *method;
 	const char *path;
-	bool open; /* answered without an operator's token */
+	bool unauthenticated; /* served without the operators' token */
 	void (*serve)(admin_task_t *task, http_exchange_t *exchange);
 } admin_route_t;
 
@@ -108,20 +108,19 @@
 
 /* ---- proposing a configuration ---- */
 
-static void on_proposed(void *ctx, const config_proposal_result_t *outcome)
+static void on_proposed(void *ctx, const config_proposal_result_t *result)
 {
 	http_exchange_t *exchange = ctx;
 	g_autofree char *detail = NULL;
 
-	switch (outcome->end) {
+	switch (result->outcome) {
 	case PROPOSAL_ACCEPTED:
-		reply_json(exchange, 200,
-			   json_pack("{s:I}", "number", (json_int_t)outcome->number));
+		reply_json(exchange, 200, json_pack("{s:I}", "number", (json_int_t)result->number));
 		break;
 	case PROPOSAL_CONFLICT:
-		detail = g_strdup_printf("number %" G_GUINT64_FORMAT " by %s came first",
-					 outcome->number,
-					 outcome->other ? outcome->other : "somebody");
+		detail =
+			g_strdup_printf("number %" G_GUINT64_FORMAT " by %s came first",
+					result->number, result->other ? result->other : "somebody");
 		reply_problem(exchange, REFUSAL_CONFLICT, detail);
 		break;
 	case PROPOSAL_UNKNOWN:
@@ -202,9 +201,9 @@
 }
 
 static const admin_route_t routes[] = {
-	{.method = "GET", .path = "/healthz", .open = true, .serve = serve_health},
-	{.method = "GET", .path = "/readyz", .open = true, .serve = serve_ready},
-	{.method = "GET", .path = "/metrics", .open = true, .serve = serve_metrics},
+	{.method = "GET", .path = "/healthz", .unauthenticated = true, .serve = serve_health},
+	{.method = "GET", .path = "/readyz", .unauthenticated = true, .serve = serve_ready},
+	{.method = "GET", .path = "/metrics", .unauthenticated = true, .serve = serve_metrics},
 	{.method = "GET", .path = "/v1/status", .serve = serve_status},
 	{.method = "GET", .path = "/v1/services", .serve = serve_services},
 	{.method = "GET", .path = "/v1/upstreams", .serve = serve_upstreams},
@@ -216,19 +215,19 @@
 	{.method = "POST", .path = "/v1/confirm", .serve = serve_confirm},
 };
 
-/* Compares all of it, so that the time taken tells nothing of the token. */
+/* Compares all bytes in constant time, so that the time taken reveals nothing of the token. */
 static bool has_token(const admin_task_t *task, http_exchange_t *exchange)
 {
 	const char *given = http_exchange_header(exchange, "authorization");
-	g_autofree char *right =
+	g_autofree char *expected =
 		g_strdup_printf("Bearer %s", task->source->settings->operators_token);
-	size_t length = strlen(right);
+	size_t length = strlen(expected);
 	unsigned char difference = 0;
 
 	if (!given || strlen(given) != length)
 		return false;
 	for (size_t i = 0; i < length; i++)
-		difference |= (unsigned char)(given[i] ^ right[i]);
+		difference |= (unsigned char)(given[i] ^ expected[i]);
 	return difference == 0;
 }
 
@@ -243,7 +242,7 @@
 		path_known = true;
 		if (!g_str_equal(routes[i].method, http_exchange_method(exchange)))
 			continue;
-		if (!routes[i].open && !has_token(task, exchange))
+		if (!routes[i].unauthenticated && !has_token(task, exchange))
 			reply_problem(exchange, REFUSAL_UNAUTHORIZED, NULL);
 		else
 			routes[i].serve(task, exchange);
--- a/src/tasks/admin_task.h
+++ b/src/tasks/admin_task.h
@@ -1,6 +1,6 @@
 /**
  * @file admin_task.h
- * Owns the operators' address: health, readiness, metrics, queries and commands.
+ * HTTP server for operators: health, readiness, metrics, status queries and commands.
  */
 #ifndef DS_ADMIN_TASK_H
 #define DS_ADMIN_TASK_H
@@ -10,7 +10,10 @@
 
 typedef struct admin_task_t admin_task_t;
 
-/** NULL when the address can't be listened on. @p source must outlive the task. */
+/**
+ * Start listening on the admin address. @p source must outlive the task.
+ * @return NULL when the address can't be listened on
+ */
 admin_task_t *admin_task_new(loop_t *loop, const status_source_t *source, config_task_t *configs);
 
 #endif
--- a/src/tasks/config_task.c
+++ b/src/tasks/config_task.c
@@ -5,7 +5,7 @@
 #include "tasks/config_task.h"
 
 #define RETRY_MIN_US 200000
-#define RETRY_MOST_US 1000000
+#define RETRY_MAX_US 1000000
 #define PERIODIC_READ_MIN_US 3000000
 #define PERIODIC_READ_MAX_US 5000000
 
@@ -16,27 +16,27 @@
 	timeline_t *timeline;
 	GRand *rand;
 	loop_timer_t retry;
-	config_watches_f watches; /* NULL: it does */
+	config_watches_f watches; /* NULL: always watch */
 	void *watches_ctx;
-	bool cut_off; /* the platform did not answer the last watch */
+	bool unreachable; /* the platform did not answer the last watch or read */
 };
 
-/** A proposal on its way. */
-typedef struct pending_t {
+/** A proposal in progress. */
+typedef struct pending_proposal_t {
 	config_task_t *task;
 	proposal_t *proposal;
-	json_t *value; /* as last written; offered here once it is accepted */
+	json_t *value; /* as last written; applied on this VM once the platform accepts it */
 	config_done_f done;
 	void *ctx;
-} pending_t;
+} pending_proposal_t;
 
 static void watch(void *ctx);
 
-static void note_unreachable(config_task_t *task, bool cut_off)
+static void note_unreachable(config_task_t *task, bool unreachable)
 {
-	if (task->cut_off != cut_off)
-		timeline_add(task->timeline, "event=platform-%s", cut_off ? "lost" : "back");
-	task->cut_off = cut_off;
+	if (task->unreachable != unreachable)
+		timeline_add(task->timeline, "event=platform-%s", unreachable ? "lost" : "back");
+	task->unreachable = unreachable;
 }
 
 static void on_watch(void *ctx, const platform_result_t *result)
@@ -47,13 +47,14 @@
 	note_unreachable(task, result->end == PLATFORM_UNKNOWN);
 	if (result->end == PLATFORM_OK)
 		query_task_offer_config(task->queries, result->version, json_incref(result->value));
-	/* Jitter: after an outage all VMs would otherwise come back in the same moment. */
+	/* Jitter: after an outage all VMs would otherwise retry at the same moment. */
 	if (result->end == PLATFORM_UNKNOWN || result->end == PLATFORM_ABSENT)
-		delay_us = (uint64_t)g_rand_double_range(task->rand, RETRY_MIN_US, RETRY_MOST_US);
+		delay_us = (uint64_t)g_rand_double_range(task->rand, RETRY_MIN_US, RETRY_MAX_US);
 	loop_timer_set(task->loop, &task->retry, delay_us);
 }
 
-/* Peers bring the news; this is for those whom no peer reaches. */
+/* Peers announce new configurations by gossip; the periodic read serves VMs that no peer reaches.
+ */
 static void on_periodic_read(void *ctx, const platform_result_t *result)
 {
 	config_task_t *task = ctx;
@@ -66,12 +67,15 @@
 						     PERIODIC_READ_MAX_US));
 }
 
-/* The number is read when the watch starts, after the offer above has been taken in. */
+/*
+ * The watch takes its number when it starts: by then the configuration that on_watch() offered has
+ * been processed.
+ */
 static void watch(void *ctx)
 {
 	config_task_t *task = ctx;
 
-	/* Before the first configuration there is nothing to lose by asking. */
+	/* Before the first configuration every VM watches: there is nothing to lose by it. */
 	if (task->watches && adoption_number(query_task_active_config(task->queries)) &&
 	    !task->watches(task->watches_ctx))
 		platform_task_read(task->platform, CONFIG_PATH, on_periodic_read, task);
@@ -110,17 +114,17 @@
 
 static void on_read(void *ctx, const platform_result_t *result)
 {
-	proposal_read_done(((pending_t *)ctx)->proposal, result);
+	proposal_read_done(((pending_proposal_t *)ctx)->proposal, result);
 }
 
 static void on_write(void *ctx, const platform_result_t *result)
 {
-	proposal_write_done(((pending_t *)ctx)->proposal, result);
+	proposal_write_done(((pending_proposal_t *)ctx)->proposal, result);
 }
 
 static void do_read(void *ctx, proposal_t *proposal)
 {
-	pending_t *pending = ctx;
+	pending_proposal_t *pending = ctx;
 
 	(void)proposal;
 	platform_task_read(pending->task->platform, CONFIG_PATH, on_read, pending);
@@ -128,7 +132,7 @@
 
 static void do_write(void *ctx, proposal_t *proposal, uint64_t if_version, const json_t *value)
 {
-	pending_t *pending = ctx;
+	pending_proposal_t *pending = ctx;
 
 	(void)proposal;
 	json_decref(pending->value);
@@ -137,21 +141,22 @@
 			    pending);
 }
 
-static void do_ended(void *ctx, proposal_t *proposal, proposal_end_t end, uint64_t number,
+static void do_ended(void *ctx, proposal_t *proposal, proposal_end_t outcome, uint64_t number,
 		     const char *other)
 {
-	pending_t *pending = ctx;
+	pending_proposal_t *pending = ctx;
 	config_task_t *task = pending->task;
-	const config_proposal_result_t outcome = {.end = end, .number = number, .other = other};
+	const config_proposal_result_t result = {
+		.outcome = outcome, .number = number, .other = other};
 
 	timeline_add(task->timeline, "event=config-proposal end=%s number=%" G_GUINT64_FORMAT,
-		     end == PROPOSAL_ACCEPTED	? "accepted"
-		     : end == PROPOSAL_CONFLICT ? "conflict"
-						: "unknown",
+		     outcome == PROPOSAL_ACCEPTED   ? "accepted"
+		     : outcome == PROPOSAL_CONFLICT ? "conflict"
+						    : "unknown",
 		     number);
-	if (end == PROPOSAL_ACCEPTED)
+	if (outcome == PROPOSAL_ACCEPTED)
 		query_task_offer_config(task->queries, number, json_incref(pending->value));
-	pending->done(pending->ctx, &outcome);
+	pending->done(pending->ctx, &result);
 	json_decref(pending->value);
 	proposal_free(proposal);
 	g_free(pending);
@@ -162,7 +167,7 @@
 {
 	static const proposal_ops_t ops = {.read = do_read, .write = do_write, .ended = do_ended};
 	const adoption_t *adoption = query_task_active_config(task->queries);
-	pending_t *pending = g_new0(pending_t, 1);
+	pending_proposal_t *pending = g_new0(pending_proposal_t, 1);
 	const json_t *history = adoption_number(adoption) == base
 					? json_object_get(adoption->value, "history")
 					: NULL;
