--- a/src/tasks/caller_task.c
+++ b/src/tasks/caller_task.c
@@ -24,12 +24,12 @@
 	uint64_t last_request_us;
 };
 
-/** One thing that a caller may ask. */
+/** One kind of request that callers may send. */
 typedef struct route_t {
 	const char *method;
-	const char *tail; /* what follows the service's name in the path */
+	const char *resource; /* path component after the service's name */
 	service_kind_t kind;
-	bool takes_id; /* an id follows the tail */
+	bool takes_id; /* a record id follows the resource */
 	bool (*parse)(http_exchange_t *exchange, const char *id, request_t *request, err_t *err);
 } route_t;
 
@@ -56,13 +56,13 @@
 }
 
 static const route_t routes[] = {
-	{.method = "POST", .tail = "search", .kind = SERVICE_GATHER, .parse = parse_search},
+	{.method = "POST", .resource = "search", .kind = SERVICE_GATHER, .parse = parse_search},
 	{.method = "GET",
-	 .tail = "records",
+	 .resource = "records",
 	 .kind = SERVICE_LOOKUP,
 	 .takes_id = true,
 	 .parse = parse_record},
-	{.method = "POST", .tail = "actions", .kind = SERVICE_ONCE, .parse = parse_action},
+	{.method = "POST", .resource = "actions", .kind = SERVICE_ONCE, .parse = parse_action},
 };
 
 static void reply_problem(http_exchange_t *exchange, refusal_t refusal, const char *detail,
@@ -76,7 +76,7 @@
 			    strlen(text));
 }
 
-/* ---- what every request carries ---- */
+/* ---- headers common to all requests ---- */
 
 static bool id_is_valid(const char *id)
 {
@@ -88,7 +88,7 @@
 	return true;
 }
 
-static bool take_id(caller_task_t *task, http_exchange_t *exchange, request_t *request, err_t *err)
+static bool read_id(caller_task_t *task, http_exchange_t *exchange, request_t *request, err_t *err)
 {
 	const char *id = http_exchange_header(exchange, "request-id");
 
@@ -128,10 +128,10 @@
 
 /* ---- routing ---- */
 
-static const route_t *find_route(const char *tail, bool has_id)
+static const route_t *find_route(const char *resource, bool has_id)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(routes); i++)
-		if (g_str_equal(routes[i].tail, tail) && routes[i].takes_id == has_id)
+		if (g_str_equal(routes[i].resource, resource) && routes[i].takes_id == has_id)
 			return &routes[i];
 	return NULL;
 }
@@ -152,7 +152,7 @@
 
 	request->service = g_strdup(service->name);
 	request->kind = service->kind;
-	if (take_id(task, exchange, request, &err) && read_class(exchange, request, &err) &&
+	if (read_id(task, exchange, request, &err) && read_class(exchange, request, &err) &&
 	    read_deadline(exchange, service, request, &err) &&
 	    route->parse(exchange, id, request, &err)) {
 		submit(task, exchange, request);
@@ -162,7 +162,7 @@
 	request_free(request);
 }
 
-/* "/v1/services/NAME/TAIL[/ID]" */
+/* "/v1/services/NAME/RESOURCE[/ID]" */
 static void route(caller_task_t *task, http_exchange_t *exchange)
 {
 	g_auto(GStrv) parts = g_strsplit(http_exchange_path(exchange), "/", 0);
@@ -195,14 +195,14 @@
 	if (service->kind != found->kind) {
 		detail = g_strdup_printf("\"%s\" is a %s service; /%s needs a %s one",
 					 service->name, service_kind_name(service->kind),
-					 found->tail, service_kind_name(found->kind));
+					 found->resource, service_kind_name(found->kind));
 		reply_problem(exchange, REFUSAL_BAD_REQUEST, detail, NULL, 0);
 		return;
 	}
 	serve(task, exchange, found, service, count == 6 ? parts[5] : "");
 }
 
-/* ---- the server's side ---- */
+/* ---- HTTP server callbacks ---- */
 
 static void on_request(void *ctx, http_exchange_t *exchange)
 {
@@ -212,7 +212,7 @@
 	route(task, exchange);
 }
 
-static void on_gone(void *ctx, http_exchange_t *exchange)
+static void on_disconnected(void *ctx, http_exchange_t *exchange)
 {
 	caller_task_t *task = ctx;
 	ticket_t *ticket = http_exchange_data(exchange);
@@ -268,7 +268,7 @@
 caller_task_t *caller_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries)
 {
 	static const http_server_ops_t server_ops = {.request = on_request,
-						     .gone = on_gone,
+						     .gone = on_disconnected,
 						     .error_body = error_body,
 						     .needs_length = true};
 	static const query_task_ops_t query_ops = {.reply = on_reply};
@@ -277,7 +277,7 @@
 	task->loop = loop;
 	task->queries = queries;
 	task->vm_name = g_strdup(settings->vm_name);
-	task->last_id = loop_wall_ms() << 8; /* does not repeat after a restart */
+	task->last_id = loop_wall_ms() << 8; /* ids aren't reused after a restart */
 	query_task_set_ops(queries, &query_ops, task);
 	task->server =
 		http_server_new(loop, settings->listen_address, (uint16_t)settings->callers_port,
--- a/src/tasks/caller_task.h
+++ b/src/tasks/caller_task.h
@@ -1,6 +1,6 @@
 /**
  * @file caller_task.h
- * Owns the callers' sockets: routes and checks requests, and writes their one answer.
+ * HTTP server for callers: validates and routes requests, and sends one answer to each.
  */
 #ifndef DS_CALLER_TASK_H
 #define DS_CALLER_TASK_H
@@ -9,12 +9,19 @@
 
 typedef struct caller_task_t caller_task_t;
 
-/** NULL when the address can't be listened on. */
+/**
+ * Start listening on the callers' address.
+ * @return NULL when the address can't be listened on
+ */
 caller_task_t *caller_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries);
-/** A planned stop begins: answers tell callers to close, new requests are still served. */
+/**
+ * A planned stop begins: answers tell callers to close their connections; new requests are still
+ * served.
+ */
 void caller_task_drain(caller_task_t *task);
+/** Requests that have not been answered yet. */
 uint32_t caller_task_open_requests(const caller_task_t *task);
-/** When the last request arrived. */
+/** When the last request arrived; 0 before the first. */
 uint64_t caller_task_last_request_us(const caller_task_t *task);
 
 #endif
