--- a/src/tasks/feed_client.c
+++ b/src/tasks/feed_client.c
@@ -7,19 +7,22 @@
 #include "core/framing.h"
 #include "net/sock.h"
 
-/* News come twice a second. Three that are missing mean a VM that is gone, frozen or cut off, or a
- * connection that went silent: changes must be known within 3 s all the same. */
-#define SILENT_MOST_US 1700000
+/*
+ * A feeder sends its status twice a second. After three missing messages its VM has terminated, is
+ * frozen or cut off, or the connection has failed silently. Changes must still arrive within 3 s,
+ * so the feed is given up then.
+ */
+#define SILENCE_MAX_US 1700000
 
 struct feed_client_t {
 	loop_t *loop;
 	const feed_client_ops_t *ops;
 	void *ctx;
-	sock_t *sock; /* NULL once it has ended */
+	sock_t *sock; /* NULL once it is closed */
 	framing_reader_t *reader;
 	loop_timer_t silence;
 	bool in_callback;
-	bool freed; /* from inside a callback */
+	bool freed; /* feed_client_free() was called from inside a callback */
 };
 
 static void client_end(feed_client_t *client, const char *reason)
@@ -54,7 +57,7 @@
 		dispose(client);
 }
 
-static void on_silence(void *ctx)
+static void on_silence_timeout(void *ctx)
 {
 	client_end(ctx, "silent");
 }
@@ -68,9 +71,9 @@
 {
 	feed_client_t *client = ctx;
 
-	if (client->freed) /* by what it was told before, of the same bytes */
+	if (client->freed) /* by the callback of an earlier message in the same bytes */
 		return;
-	loop_timer_set(client->loop, &client->silence, SILENT_MOST_US);
+	loop_timer_set(client->loop, &client->silence, SILENCE_MAX_US);
 	client->ops->message(client->ctx, message);
 }
 
@@ -115,7 +118,7 @@
 		dispose(client);
 		return NULL;
 	}
-	client->silence = (loop_timer_t){.fire = on_silence, .ctx = client};
-	loop_timer_set(loop, &client->silence, SILENT_MOST_US);
+	client->silence = (loop_timer_t){.fire = on_silence_timeout, .ctx = client};
+	loop_timer_set(loop, &client->silence, SILENCE_MAX_US);
 	return client;
 }
