--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -9,19 +9,21 @@
 #include "core/framing.h"
 #include "net/sock.h"
 
-/* Objects that subscribers have asked for and not been told; more are dropped, and asked for again.
+/*
+ * Subscribers' requests for single objects that are queued here. Further ones are dropped; their
+ * subscribers send them again.
  */
 #define OBJECT_REQUESTS_MAX 256
 
 struct feed_server_t {
 	loop_t *loop;
 	uint32_t link_mbps;
-	GQueue asked; /* object_request_t */
+	GQueue requests; /* object_request_t */
 	loop_timer_t request_timer;
-	feed_book_t **books; /* by kind */
+	feed_book_t **caches; /* by kind */
 	uint32_t kinds;
 	GPtrArray *subscribers; /* subscriber_t */
-	GByteArray *frame;	/* being written */
+	GByteArray *frame;	/* scratch buffer for frames to send */
 	const feed_server_ops_t *ops;
 	void *ctx;
 };
@@ -32,31 +34,31 @@
 	framing_reader_t *reader;
 } subscriber_t;
 
-/** An object that a subscriber can't read from the store. */
+/** A subscriber's request for an object that it can't read from the store. */
 typedef struct object_request_t {
 	subscriber_t *subscriber;
 	uint32_t kind;
 	char *name;
 } object_request_t;
 
-static void object_request_free(object_request_t *asked)
+static void object_request_free(object_request_t *request)
 {
-	g_free(asked->name);
-	g_free(asked);
+	g_free(request->name);
+	g_free(request);
 }
 
 static void drop_object_requests(feed_server_t *server, const subscriber_t *subscriber)
 {
 	GList *next;
 
-	for (GList *item = server->asked.head; item; item = next) {
-		object_request_t *asked = item->data;
+	for (GList *item = server->requests.head; item; item = next) {
+		object_request_t *request = item->data;
 
 		next = item->next;
-		if (asked->subscriber != subscriber)
+		if (request->subscriber != subscriber)
 			continue;
-		g_queue_delete_link(&server->asked, item);
-		object_request_free(asked);
+		g_queue_delete_link(&server->requests, item);
+		object_request_free(request);
 	}
 }
 
@@ -68,13 +70,13 @@
 	g_free(subscriber);
 }
 
-static void write_to_subscribers(const feed_server_t *server, const subscriber_t *but,
+static void write_to_subscribers(const feed_server_t *server, const subscriber_t *except,
 				 const GByteArray *frames)
 {
 	for (guint i = 0; i < server->subscribers->len; i++) {
 		subscriber_t *subscriber = g_ptr_array_index(server->subscribers, i);
 
-		if (subscriber != but)
+		if (subscriber != except)
 			sock_write(subscriber->sock, frames->data, frames->len);
 	}
 }
@@ -89,34 +91,37 @@
 	write_to_subscribers(server, from, server->frame);
 }
 
-/* One after the other: what goes to them holds up this VM's own requests. */
+/*
+ * Requested objects are sent one at a time, with a pause after each: on this VM's network link they
+ * delay its own requests.
+ */
 static void send_requested_object(void *ctx)
 {
 	feed_server_t *server = ctx;
-	object_request_t *asked = g_queue_pop_head(&server->asked);
+	object_request_t *request = g_queue_pop_head(&server->requests);
 	feed_message_t message;
 	size_t bytes = 0;
 
-	if (!asked)
+	if (!request)
 		return;
-	if (feed_book_find(server->books[asked->kind], asked->name, &message)) {
+	if (feed_book_find(server->caches[request->kind], request->name, &message)) {
 		g_byte_array_set_size(server->frame, 0);
 		feed_message_write(server->frame, &message);
-		sock_write(asked->subscriber->sock, server->frame->data, server->frame->len);
+		sock_write(request->subscriber->sock, server->frame->data, server->frame->len);
 		bytes = server->frame->len;
 	}
-	object_request_free(asked);
+	object_request_free(request);
 	loop_timer_set(server->loop, &server->request_timer,
 		       feed_pause_us(bytes, server->link_mbps));
 }
 
 static bool is_requested(const subscriber_t *subscriber, const feed_message_t *message)
 {
-	for (const GList *item = subscriber->server->asked.head; item; item = item->next) {
-		const object_request_t *asked = item->data;
+	for (const GList *item = subscriber->server->requests.head; item; item = item->next) {
+		const object_request_t *request = item->data;
 
-		if (asked->subscriber == subscriber && asked->kind == message->kind &&
-		    g_str_equal(asked->name, message->name))
+		if (request->subscriber == subscriber && request->kind == message->kind &&
+		    g_str_equal(request->name, message->name))
 			return true;
 	}
 	return false;
@@ -125,15 +130,15 @@
 static void enqueue_object_request(subscriber_t *subscriber, const feed_message_t *message)
 {
 	feed_server_t *server = subscriber->server;
-	object_request_t *asked;
+	object_request_t *request;
 
-	if (message->kind >= server->kinds || server->asked.length >= OBJECT_REQUESTS_MAX ||
+	if (message->kind >= server->kinds || server->requests.length >= OBJECT_REQUESTS_MAX ||
 	    is_requested(subscriber, message))
 		return;
-	asked = g_new(object_request_t, 1);
-	*asked = (object_request_t){
+	request = g_new(object_request_t, 1);
+	*request = (object_request_t){
 		.subscriber = subscriber, .kind = message->kind, .name = g_strdup(message->name)};
-	g_queue_push_tail(&server->asked, asked);
+	g_queue_push_tail(&server->requests, request);
 	if (!server->request_timer.entry.heap_position)
 		send_requested_object(server);
 }
@@ -151,7 +156,7 @@
 		g_info("event=feed-message-ignored type=%d reason=not-for-feeders", message->type);
 		return;
 	}
-	server->ops->heard(server->ctx, message);
+	server->ops->observation(server->ctx, message);
 	relay_message(server, subscriber, message);
 }
 
@@ -182,8 +187,8 @@
 	static const sock_ops_t ops = {.received = on_received, .ended = on_ended};
 	feed_server_t *server = ctx;
 	subscriber_t *subscriber = g_new0(subscriber_t, 1);
-	feed_message_t news = {.name = "", .text = ""};
-	bool greeted = server->ops->greet(server->ctx, &news);
+	feed_message_t status = {.name = "", .text = ""};
+	bool has_status = server->ops->get_status(server->ctx, &status);
 
 	subscriber->server = server;
 	subscriber->sock = sock;
@@ -191,11 +196,14 @@
 	g_ptr_array_add(server->subscribers, subscriber);
 	sock_set_ops(sock, &ops, subscriber);
 	g_byte_array_set_size(server->frame, 0);
-	if (greeted)
-		feed_message_write(server->frame, &news);
-	/* One that can't be relied on is left at once; its lists would only hold up its link. */
-	for (uint32_t kind = 0; kind < server->kinds && !(greeted && news.away); kind++)
-		feed_book_write(server->books[kind], server->frame);
+	if (has_status)
+		feed_message_write(server->frame, &status);
+	/*
+	 * A subscriber leaves a feeder that is cut off from the store at once: sending the lists
+	 * would only occupy the network link.
+	 */
+	for (uint32_t kind = 0; kind < server->kinds && !(has_status && status.away); kind++)
+		feed_book_write(server->caches[kind], server->frame);
 	sock_write(sock, server->frame->data, server->frame->len);
 }
 
@@ -210,9 +218,9 @@
 	server->ops = ops;
 	server->ctx = ctx;
 	server->kinds = kinds;
-	server->books = g_new0(feed_book_t *, kinds);
+	server->caches = g_new0(feed_book_t *, kinds);
 	for (uint32_t kind = 0; kind < kinds; kind++)
-		server->books[kind] = feed_book_new(kind);
+		server->caches[kind] = feed_book_new(kind);
 	server->subscribers = g_ptr_array_new();
 	server->frame = g_byte_array_new();
 	if (listener_new(loop, address, port, on_accepted, server))
@@ -225,13 +233,13 @@
 
 void feed_server_publish(feed_server_t *server, const feed_message_t *message)
 {
-	feed_message_t told = *message;
+	feed_message_t sent = *message;
 
 	if (message->type < FEED_NEWS && message->kind < server->kinds)
-		feed_book_take(server->books[message->kind], message);
+		feed_book_take(server->caches[message->kind], message);
 	if (message->type == FEED_CHANGED)
-		told.text = "";
-	relay_message(server, NULL, &told);
+		sent.text = "";
+	relay_message(server, NULL, &sent);
 }
 
 void feed_server_write(feed_server_t *server, const GByteArray *frames)
@@ -247,5 +255,5 @@
 void feed_server_clear(feed_server_t *server)
 {
 	for (uint32_t kind = 0; kind < server->kinds; kind++)
-		feed_book_clear(server->books[kind]);
+		feed_book_clear(server->caches[kind]);
 }
--- a/src/tasks/feed_server.h
+++ b/src/tasks/feed_server.h
@@ -1,6 +1,6 @@
 /**
  * @file feed_server.h
- * Tells other VMs what this one knows of the platform's store.
+ * Server of this VM's feed: relays the platform's store to its subscribers.
  */
 #ifndef DS_FEED_SERVER_H
 #define DS_FEED_SERVER_H
@@ -11,29 +11,30 @@
 typedef struct feed_server_t feed_server_t;
 
 typedef struct feed_server_ops_t {
-	/** A subscriber tells a sighting; the others are told, too. */
-	feed_message_f heard;
+	/** A subscriber sent an observation; it is relayed to the other subscribers, too. */
+	feed_message_f observation;
 	/**
-	 * What a new subscriber is told first.
-	 * @return whether that is news, and @p news filled
+	 * Get the feed status that a new subscriber is sent first.
+	 * @return whether the status in @p status is to be sent
 	 */
-	bool (*greet)(void *ctx, feed_message_t *news);
+	bool (*get_status)(void *ctx, feed_message_t *status);
 } feed_server_ops_t;
 
 /**
- * NULL when the address can't be listened on.
- * @param kinds how many kinds of objects there are
- * @param link_mbps of this VM's link; 0: not known
+ * Start listening for subscribers.
+ * @param kinds number of kinds of objects
+ * @param link_mbps bandwidth of this VM's network link; 0: unknown
+ * @return NULL when the address can't be listened on
  */
 feed_server_t *feed_server_new(loop_t *loop, const char *address, uint16_t port, uint32_t kinds,
 			       uint32_t link_mbps, const feed_server_ops_t *ops, void *ctx);
-/** Keep @p message, and send it to all subscribers. */
+/** Cache @p message for later subscribers, and send it to all current ones. */
 void feed_server_publish(feed_server_t *server, const feed_message_t *message);
-/** Send whole frames to all subscribers. */
+/** Send complete frames to all subscribers. */
 void feed_server_write(feed_server_t *server, const GByteArray *frames);
-/** VMs that are told what this one knows. */
+/** Number of VMs that are subscribed to this one. */
 uint32_t feed_server_subscribers(const feed_server_t *server);
-/** Forget what was told: this VM no longer knows it at first hand. */
+/** Clear the cached objects: this VM no longer watches the store itself. */
 void feed_server_clear(feed_server_t *server);
 
 #endif
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -686,9 +686,9 @@
 							 .object = on_object,
 							 .list_end = on_list_end,
 							 .lost = on_store_lost,
-							 .back = on_store_back,
+							 .recovered = on_store_back,
 							 .restored = on_store_restored,
-							 .sighting = on_sighting,
+							 .observation = on_sighting,
 							 .members = on_members};
 	static const gather_ops_t gather_ops = {
 		.answer = on_gathered, .gather_here = on_gather_here, .newer = on_newer};
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -13,43 +13,50 @@
 
 #include <string.h>
 
-/* Three of these may be lost before a subscriber gives its feed up. */
+/* A subscriber gives up its feed after three missing status messages. */
 #define FEED_STATUS_PERIOD_US 500000
-/* Changes come in groups: searchers that start, leave or lapse together. Each wake-up of a watch is
- * a priced call, so after one with changes the next waits; what happens meanwhile comes with it. A
- * change is then known within a second. */
+/*
+ * Changes come in groups: searchers start, drain or lapse together. Each reply to a watch is a
+ * billed call, so after a reply with changes the next watch is delayed by this time, and returns
+ * the changes made meanwhile. A change is then known within a second.
+ */
 #define CHANGE_GROUP_US 800000
-/* Of what operators write, which changes seldom: VMs that watch the configuration should know it at
- * the same time, or callers are answered by the new and the old version by turns. */
+/*
+ * The same for objects that operators write, which change seldom. VMs that watch the configuration
+ * should learn of a new version at the same time; otherwise callers are answered by the new and the
+ * old version in turns.
+ */
 #define OPERATOR_CHANGE_GROUP_US 100000
-/* A feeder tells large objects one after the other, to all that ask. */
+/* Delay before an object is requested from a feeder again: a feeder sends large objects one at a
+ * time to all subscribers that request them. */
 #define REQUEST_RETRY_US 5000000
-/* Sightings wait so long for others to go with them: a pause that is told lasts 150 ms more. */
+/* Observations wait this long to be sent in groups: little against a reported pause of a searcher,
+ * which lasts another 150 ms. */
 #define OBSERVATIONS_GROUP_US 10000
-/* A VM in a data centre where much is slow sees some 30 odd answers a second; more is dropped. */
+/* A VM in a data centre with many slow searchers observes some 30 unexpected answers a second;
+ * further ones are dropped. */
 #define OBSERVATIONS_MAX_BYTES 4096
-/* The kinds that are watched and fed: searchers, configuration, requests that crash searchers, and
- * evacuations where there are any. */
+/* Kinds of objects that are watched and relayed: searchers, configuration, requests that crash
+ * searchers, and, where they are in use, evacuations. */
 #define FED_KINDS_MAX 4
 /*
- * Nearly always there is nothing to hear of such requests, and each watch that ends is a priced
- * call. A store that can't be heard shows by the other kinds, which are watched more often; then
- * this one is asked for once more, too.
+ * Requests that crash searchers hardly ever change, and each watch that ends is a billed call, so
+ * these watches are long. An unreachable store is noticed by the other kinds, which are watched
+ * more often; this kind is then requested again, too.
  */
 #define POISON_WATCH_MS 20000
 
-/** An object that a feeder has announced. */
+/** An object whose change a feeder has announced without its content. */
 typedef struct announced_t {
-	uint64_t asked_us; /* when a feeder was asked to tell it; 0: never */
+	uint64_t requested_us; /* when its content was last requested from a feeder; 0: never */
 } announced_t;
 
-/** One kind of objects being followed. */
+/** One kind of object that is kept current. */
 typedef struct synced_kind_t {
 	store_sync_task_t *task;
 	store_kind_t kind;
 	follower_t *follower;
-	GHashTable *announced; /* names of objects that a feeder has announced and not told, to
-				* announced_t */
+	GHashTable *announced; /* announced_t by name, until the content arrives */
 } synced_kind_t;
 
 struct store_sync_task_t {
@@ -60,18 +67,18 @@
 	GHashTable *regions; /* data centre to region */
 	synced_kind_t kinds[FED_KINDS_MAX];
 	uint32_t kind_count;
-	hearing_t *hearing;
-	loop_timer_t hearing_timer;
+	hearing_t *store_sync;
+	loop_timer_t sync_timer;
 	feed_server_t *server;
-	bool sights; /* tells of searchers: the region has so many VMs that it is of use */
+	bool shares_observations; /* the region has enough VMs for sharing to be useful */
 	feed_timing_t timing;
-	loop_timer_t news_timer;
+	loop_timer_t status_timer;
 	platform_task_t *platform;
-	GByteArray *sightings; /* frames that wait to be told */
+	GByteArray *observations; /* frames of observations that are not sent yet */
 	loop_timer_t observations_timer;
 };
 
-/** A connection to a VM that tells of the store. */
+/** A connection to a feeder. */
 typedef struct feed_connection_t {
 	store_sync_task_t *task;
 	hearing_link_t *link;
@@ -83,15 +90,15 @@
 	return ((const feed_connection_t *)link->data)->client;
 }
 
-/* After anything was told to it. */
+/* To be called after each call into the store sync, which may have changed its next timer. */
 static void arm_sync_timer(store_sync_task_t *task)
 {
-	uint64_t next_us = hearing_next_us(task->hearing), now_us = loop_now_us();
+	uint64_t next_us = hearing_next_us(task->store_sync), now_us = loop_now_us();
 
 	if (next_us == TIMERS_NEVER)
-		loop_timer_cancel(&task->hearing_timer);
+		loop_timer_cancel(&task->sync_timer);
 	else
-		loop_timer_set(task->loop, &task->hearing_timer,
+		loop_timer_set(task->loop, &task->sync_timer,
 			       next_us > now_us ? next_us - now_us : 0);
 }
 
@@ -99,20 +106,20 @@
 {
 	store_sync_task_t *task = ctx;
 
-	hearing_run(task->hearing, loop_now_us());
+	hearing_run(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 }
 
-/* ---- what comes in, from wherever ---- */
+/* ---- objects received, from the store or a feeder ---- */
 
-static void tell(synced_kind_t *kind, feed_type_t type, const store_object_t *object)
+static void publish_object(synced_kind_t *kind, feed_type_t type, const store_object_t *object)
 {
 	const store_sync_task_t *task = kind->task;
 	feed_message_t message;
 	char *text;
 	bool fits;
 
-	if (!hearing_follows(task->hearing))
+	if (!hearing_follows(task->store_sync))
 		return;
 	text = object ? json_dumps(object->content, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
 	fits = text && feed_may_tell(strlen(text), feed_server_subscribers(task->server),
@@ -134,7 +141,7 @@
 {
 	synced_kind_t *kind = ctx;
 
-	tell(kind, FEED_LIST_BEGIN, NULL);
+	publish_object(kind, FEED_LIST_BEGIN, NULL);
 	kind->task->ops->list_begin(kind->task->ctx, kind->kind);
 }
 
@@ -142,7 +149,7 @@
 {
 	synced_kind_t *kind = ctx;
 
-	tell(kind, object->removed ? FEED_REMOVED : FEED_OBJECT, object);
+	publish_object(kind, object->removed ? FEED_REMOVED : FEED_OBJECT, object);
 	kind->task->ops->object(kind->task->ctx, kind->kind, object);
 }
 
@@ -150,23 +157,23 @@
 {
 	synced_kind_t *kind = ctx;
 
-	tell(kind, FEED_LIST_END, NULL);
+	publish_object(kind, FEED_LIST_END, NULL);
 	kind->task->ops->list_end(kind->task->ctx, kind->kind);
 }
 
-static void on_call_ended(void *ctx, hearing_end_t end)
+static void on_call_ended(void *ctx, hearing_end_t result)
 {
 	synced_kind_t *kind = ctx;
 
-	if (end == HEARING_LISTED)
+	if (result == HEARING_LISTED)
 		g_hash_table_remove_all(kind->announced);
-	hearing_replied(kind->task->hearing, kind->kind, end, loop_now_us());
+	hearing_replied(kind->task->store_sync, kind->kind, result, loop_now_us());
 	arm_sync_timer(kind->task);
 }
 
-/* ---- asking the store ---- */
+/* ---- calls to the store ---- */
 
-static void on_ask(void *ctx, uint32_t kind, const hearing_call_t *call)
+static void on_call(void *ctx, uint32_t kind, const hearing_call_t *call)
 {
 	follower_call(((store_sync_task_t *)ctx)->kinds[kind].follower, call);
 }
@@ -176,12 +183,13 @@
 	follower_cancel(((store_sync_task_t *)ctx)->kinds[kind].follower);
 }
 
-static void on_list_anew(void *ctx, uint32_t kind)
+static void on_restart_list(void *ctx, uint32_t kind)
 {
 	follower_restart_list(((store_sync_task_t *)ctx)->kinds[kind].follower);
 }
 
-/* What the look has read is in force at once; another feeder, or the store, tells the rest. */
+/* Applies the configuration that a store check has read at once; the next source, another feeder or
+ * the store, brings the other objects. */
 static void apply_store_check(store_sync_task_t *task, const platform_result_t *result)
 {
 	store_page_t page = {0};
@@ -202,11 +210,11 @@
 	       reached ? "reached" : "away");
 	if (reached)
 		apply_store_check(task, result);
-	hearing_looked(task->hearing, reached, loop_now_us());
+	hearing_looked(task->store_sync, reached, loop_now_us());
 	arm_sync_timer(task);
 }
 
-static void on_look(void *ctx, uint64_t timeout_us)
+static void on_store_check(void *ctx, uint64_t timeout_us)
 {
 	store_sync_task_t *task = ctx;
 	g_autofree char *target = store_list_target(STORE_CONFIGURATION, NULL);
@@ -214,7 +222,7 @@
 	platform_task_fetch(task->platform, target, timeout_us, on_store_checked, task);
 }
 
-/* ---- whether the store is heard ---- */
+/* ---- loss and recovery of the store ---- */
 
 static void on_lost(void *ctx)
 {
@@ -224,41 +232,41 @@
 	task->ops->lost(task->ctx);
 }
 
-static void on_back(void *ctx)
+static void on_recovered(void *ctx)
 {
 	store_sync_task_t *task = ctx;
 
 	g_message("event=store-back age_us=%" G_GUINT64_FORMAT, store_sync_task_age_us(task));
-	task->ops->back(task->ctx);
+	task->ops->recovered(task->ctx);
 }
 
-static void take_object(synced_kind_t *kind, const feed_message_t *message)
+static void receive_object(synced_kind_t *kind, const feed_message_t *message)
 {
 	json_t *content = json_loads(message->text, JSON_DECODE_ANY, NULL);
 	const store_object_t object = {.name = message->name,
 				       .content = content,
 				       .removed = message->type == FEED_REMOVED};
 
-	/* Content that can't be read is handed on, too: what it was before holds no more. */
+	/* Content that can't be parsed is passed on, too: the former content is outdated. */
 	pass_object(kind, &object);
 	json_decref(content);
 }
 
 static void receive_observation(store_sync_task_t *task, const feed_message_t *message)
 {
-	const observation_t sighting = {.type = (observation_type_t)message->kind,
-					.searcher = message->name,
-					.born_ms = g_ascii_strtoull(message->text, NULL, 10),
-					.after_us = message->age_us};
+	const observation_t observation = {.type = (observation_type_t)message->kind,
+					   .searcher = message->name,
+					   .born_ms = g_ascii_strtoull(message->text, NULL, 10),
+					   .after_us = message->age_us};
 
 	if (message->kind >= OBSERVATION_TYPES) {
 		g_info("event=sighting-ignored type=%u reason=unknown", message->kind);
 		return;
 	}
-	task->ops->sighting(task->ctx, &sighting);
+	task->ops->observation(task->ctx, &observation);
 }
 
-static void on_heard(void *ctx, const feed_message_t *message)
+static void on_subscriber_observation(void *ctx, const feed_message_t *message)
 {
 	receive_observation(ctx, message);
 }
@@ -266,34 +274,34 @@
 static void send_observations(void *ctx)
 {
 	store_sync_task_t *task = ctx;
-	const hearing_link_t *feed = hearing_feed(task->hearing);
+	const hearing_link_t *feed = hearing_feed(task->store_sync);
 
 	if (feed)
-		feed_client_write(feed_client_of(feed), task->sightings);
+		feed_client_write(feed_client_of(feed), task->observations);
 	else
-		feed_server_write(task->server, task->sightings);
-	g_byte_array_set_size(task->sightings, 0);
+		feed_server_write(task->server, task->observations);
+	g_byte_array_set_size(task->observations, 0);
 }
 
-void store_sync_task_publish(store_sync_task_t *task, const observation_t *sighting)
+void store_sync_task_publish(store_sync_task_t *task, const observation_t *observation)
 {
 	char born[24];
 	const feed_message_t message = {.type = FEED_SIGHTING,
-					.kind = sighting->type,
-					.name = sighting->searcher,
+					.kind = observation->type,
+					.name = observation->searcher,
 					.text = born,
-					.age_us = sighting->after_us};
+					.age_us = observation->after_us};
 
-	snprintf(born, sizeof(born), "%" G_GUINT64_FORMAT, sighting->born_ms);
+	snprintf(born, sizeof(born), "%" G_GUINT64_FORMAT, observation->born_ms);
 
-	if (!task->sights || task->sightings->len > OBSERVATIONS_MAX_BYTES)
+	if (!task->shares_observations || task->observations->len > OBSERVATIONS_MAX_BYTES)
 		return;
-	if (!task->sightings->len)
+	if (!task->observations->len)
 		loop_timer_set(task->loop, &task->observations_timer, OBSERVATIONS_GROUP_US);
-	feed_message_write(task->sightings, &message);
+	feed_message_write(task->observations, &message);
 }
 
-/* ---- links to other VMs ---- */
+/* ---- links to feeders ---- */
 
 static void receive_change(synced_kind_t *kind, hearing_link_t *link, const feed_message_t *message)
 {
@@ -305,21 +313,21 @@
 		break;
 	case FEED_LIST_END:
 		pass_list_end(kind);
-		hearing_link_listed(task->hearing, link, kind->kind, loop_now_us());
+		hearing_link_listed(task->store_sync, link, kind->kind, loop_now_us());
 		break;
 	case FEED_CHANGED:
 		g_message("event=feed-announced kind=%s name=%s outcome=read-from-store",
 			  store_kind_name(kind->kind), message->name);
 		g_hash_table_insert(kind->announced, g_strdup(message->name),
 				    g_new0(announced_t, 1));
-		hearing_announced(task->hearing, kind->kind, loop_now_us());
+		hearing_announced(task->store_sync, kind->kind, loop_now_us());
 		break;
 	case FEED_OBJECT:
 	case FEED_REMOVED:
-		take_object(kind, message);
+		receive_object(kind, message);
 		if (g_hash_table_remove(kind->announced, message->name) &&
 		    !g_hash_table_size(kind->announced))
-			hearing_told(task->hearing, kind->kind);
+			hearing_told(task->store_sync, kind->kind);
 		break;
 	default:
 		g_info("event=feed-message-ignored type=%d reason=not-for-subscribers",
@@ -327,41 +335,43 @@
 	}
 }
 
-static void receive_feed_status(feed_connection_t *own, const feed_message_t *message)
+static void receive_feed_status(feed_connection_t *connection, const feed_message_t *message)
 {
-	const hearing_news_t news = {
+	const hearing_news_t status = {
 		.away = message->away, .age_us = message->age_us, .from = message->name};
 
-	hearing_link_news(own->task->hearing, own->link, &news, loop_now_us());
+	hearing_link_news(connection->task->store_sync, connection->link, &status, loop_now_us());
 }
 
-/* The feed's list is taken while the store is still watched: both say the same, or nearly, and the
- * later of two reports about a searcher or a version wins wherever it comes from. */
+/*
+ * The feed's list is applied while the store is still watched. The two sources agree, or nearly so,
+ * and of two reports about a searcher or a version the later one wins, whatever its source.
+ */
 static void on_feed_message(void *ctx, const feed_message_t *message)
 {
-	feed_connection_t *own = ctx;
-	store_sync_task_t *task = own->task;
+	feed_connection_t *connection = ctx;
+	store_sync_task_t *task = connection->task;
 
-	/* Of a feeder that has not heard yet that the store is another one: its next list will be
-	 * of this one, or its news grow too old. */
+	/* The feeder does not know yet that the store was restored: its next list will be of the
+	 * current era, or its feed becomes stale. */
 	if (message->type != FEED_SIGHTING &&
 	    platform_task_observe_era(task->platform, message->era) == STORE_ERA_OLDER)
 		return;
 	if (message->type == FEED_NEWS)
-		receive_feed_status(own, message);
+		receive_feed_status(connection, message);
 	else if (message->type == FEED_SIGHTING)
 		receive_observation(task, message);
 	else if (message->kind < task->kind_count)
-		receive_change(&task->kinds[message->kind], own->link, message);
+		receive_change(&task->kinds[message->kind], connection->link, message);
 	arm_sync_timer(task);
 }
 
 static void on_feed_ended(void *ctx, const char *reason)
 {
-	feed_connection_t *own = ctx;
-	store_sync_task_t *task = own->task;
+	feed_connection_t *connection = ctx;
+	store_sync_task_t *task = connection->task;
 
-	hearing_link_ended(task->hearing, own->link, reason, loop_now_us());
+	hearing_link_ended(task->store_sync, connection->link, reason, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -370,33 +380,34 @@
 	static const feed_client_ops_t ops = {.message = on_feed_message, .ended = on_feed_ended};
 	store_sync_task_t *task = ctx;
 	const vm_t *vm = vm_find(member_task_vms(task->members), link->vm);
-	feed_connection_t *own = g_new0(feed_connection_t, 1);
+	feed_connection_t *connection = g_new0(feed_connection_t, 1);
 
-	*own = (feed_connection_t){.task = task, .link = link};
-	own->client =
-		vm ? feed_client_new(task->loop, vm->address, vm->feed_port, &ops, own) : NULL;
-	link->data = own;
-	if (!own->client)
-		g_free(own);
-	return own->client != NULL;
+	*connection = (feed_connection_t){.task = task, .link = link};
+	connection->client =
+		vm ? feed_client_new(task->loop, vm->address, vm->feed_port, &ops, connection)
+		   : NULL;
+	link->data = connection;
+	if (!connection->client)
+		g_free(connection);
+	return connection->client != NULL;
 }
 
 static void on_close(void *ctx, hearing_link_t *link, const char *reason)
 {
 	store_sync_task_t *task = ctx;
-	feed_connection_t *own = link->data;
+	feed_connection_t *connection = link->data;
 
-	if (hearing_feed(task->hearing) == link)
+	if (hearing_feed(task->store_sync) == link)
 		g_message("event=feed-lost vm=%s reason=%s age_us=%" G_GUINT64_FORMAT, link->vm,
 			  reason, store_sync_task_age_us(task));
 	else
 		g_info("event=feed-not-taken vm=%s backup=%d reason=%s", link->vm, link->backup,
 		       reason);
-	feed_client_free(own->client);
-	g_free(own);
+	feed_client_free(connection->client);
+	g_free(connection);
 }
 
-static void on_ask_link(void *ctx, hearing_link_t *link, uint32_t number)
+static void on_request_objects(void *ctx, hearing_link_t *link, uint32_t number)
 {
 	store_sync_task_t *task = ctx;
 	g_autoptr(GByteArray) frames = g_byte_array_new();
@@ -410,9 +421,9 @@
 		const feed_message_t message = {
 			.type = FEED_ASK, .kind = number, .name = name, .text = ""};
 
-		if (announced->asked_us && now_us < announced->asked_us + REQUEST_RETRY_US)
+		if (announced->requested_us && now_us < announced->requested_us + REQUEST_RETRY_US)
 			continue;
-		announced->asked_us = now_us;
+		announced->requested_us = now_us;
 		g_message("event=feed-asked vm=%s kind=%s name=%s", link->vm,
 			  store_kind_name((store_kind_t)number), message.name);
 		feed_message_write(frames, &message);
@@ -420,7 +431,7 @@
 	feed_client_write(feed_client_of(link), frames);
 }
 
-static void on_taken(void *ctx, const hearing_link_t *link)
+static void on_feed_accepted(void *ctx, const hearing_link_t *link)
 {
 	store_sync_task_t *task = ctx;
 
@@ -429,27 +440,27 @@
 	feed_server_clear(task->server);
 }
 
-/* ---- the other VMs ---- */
+/* ---- the list of VMs ---- */
 
 static void on_store_answered(void *ctx, bool answered)
 {
 	store_sync_task_t *task = ctx;
 
-	hearing_answered(task->hearing, answered, loop_now_us());
+	hearing_answered(task->store_sync, answered, loop_now_us());
 	arm_sync_timer(task);
 }
 
 static void set_watch_times(store_sync_task_t *task, bool feeds_others)
 {
-	uint32_t often_ms = feeds_others ? task->timing.feeder_watch_ms : task->timing.watch_ms;
-	const uint32_t waits_ms[FED_KINDS_MAX] = {[STORE_SEARCHERS] = often_ms,
-						  [STORE_CONFIGURATION] = often_ms,
-						  [STORE_POISON] = POISON_WATCH_MS,
-						  [STORE_EVACUATIONS] =
-							  task->timing.evacuation_watch_ms};
+	uint32_t frequent_ms = feeds_others ? task->timing.feeder_watch_ms : task->timing.watch_ms;
+	const uint32_t watch_times_ms[FED_KINDS_MAX] = {[STORE_SEARCHERS] = frequent_ms,
+							[STORE_CONFIGURATION] = frequent_ms,
+							[STORE_POISON] = POISON_WATCH_MS,
+							[STORE_EVACUATIONS] =
+								task->timing.evacuation_watch_ms};
 
 	for (uint32_t i = 0; i < task->kind_count; i++)
-		hearing_set_wait(task->hearing, i, waits_ms[i]);
+		hearing_set_wait(task->store_sync, i, watch_times_ms[i]);
 }
 
 static void on_members(void *ctx)
@@ -460,25 +471,25 @@
 	g_autoptr(GPtrArray) feeders = feed_choose(&all, own->name, own->data_centre);
 	g_autoptr(GPtrArray) backups = feed_backups(&all, own->name, own->data_centre);
 
-	task->sights = feed_is_used(&all, own->data_centre);
-	set_watch_times(task, task->sights && !feeders->len);
-	hearing_set_vms(task->hearing, feeders, backups, task->sights && !feeders->len,
-			loop_now_us());
+	task->shares_observations = feed_is_used(&all, own->data_centre);
+	set_watch_times(task, task->shares_observations && !feeders->len);
+	hearing_set_vms(task->store_sync, feeders, backups,
+			task->shares_observations && !feeders->len, loop_now_us());
 	arm_sync_timer(task);
 	task->ops->members(task->ctx);
 }
 
-/* ---- news ---- */
+/* ---- feed status ---- */
 
 static feed_message_t current_feed_status(const store_sync_task_t *task)
 {
-	const hearing_news_t news = hearing_news(task->hearing, loop_now_us());
+	const hearing_news_t status = hearing_news(task->store_sync, loop_now_us());
 
 	return (feed_message_t){.type = FEED_NEWS,
-				.name = news.from,
+				.name = status.from,
 				.text = "",
-				.age_us = news.age_us,
-				.away = news.away,
+				.age_us = status.age_us,
+				.away = status.away,
 				.era = platform_task_era(task->platform)};
 }
 
@@ -488,24 +499,24 @@
 	const feed_message_t message = current_feed_status(task);
 
 	feed_server_publish(task->server, &message);
-	loop_timer_set(task->loop, &task->news_timer, FEED_STATUS_PERIOD_US);
+	loop_timer_set(task->loop, &task->status_timer, FEED_STATUS_PERIOD_US);
 }
 
-/* Before this VM has heard all at its start it has nothing to say. */
-static bool on_get_feed_status(void *ctx, feed_message_t *news)
+/* A VM that has not read all objects after its start has no status to send. */
+static bool on_get_feed_status(void *ctx, feed_message_t *status)
 {
 	store_sync_task_t *task = ctx;
 
-	*news = current_feed_status(task);
-	return hearing_is_known(task->hearing);
+	*status = current_feed_status(task);
+	return hearing_is_known(task->store_sync);
 }
 
 static void on_restored(void *ctx)
 {
 	store_sync_task_t *task = ctx;
 
-	task->ops->restored(task->ctx, hearing_follows(task->hearing));
-	hearing_restored(task->hearing, loop_now_us());
+	task->ops->restored(task->ctx, hearing_follows(task->store_sync));
+	hearing_restored(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 	member_task_restored(task->members);
 }
@@ -530,31 +541,31 @@
 
 static void start_sync(store_sync_task_t *task)
 {
-	static const hearing_ops_t ops = {.ask = on_ask,
+	static const hearing_ops_t ops = {.ask = on_call,
 					  .cancel = on_cancel,
-					  .list_anew = on_list_anew,
-					  .look = on_look,
+					  .list_anew = on_restart_list,
+					  .look = on_store_check,
 					  .open = on_open,
 					  .close = on_close,
-					  .ask_link = on_ask_link,
-					  .taken = on_taken,
+					  .ask_link = on_request_objects,
+					  .taken = on_feed_accepted,
 					  .lost = on_lost,
-					  .back = on_back};
+					  .back = on_recovered};
 	static const hearing_kind_t kinds[FED_KINDS_MAX] = {
 		[STORE_SEARCHERS] = {.group_us = CHANGE_GROUP_US, .often = true},
 		[STORE_CONFIGURATION] = {.group_us = OPERATOR_CHANGE_GROUP_US, .often = true},
 		[STORE_POISON] = {.group_us = OPERATOR_CHANGE_GROUP_US},
 		[STORE_EVACUATIONS] = {.group_us = OPERATOR_CHANGE_GROUP_US}};
 
-	task->hearing_timer = (loop_timer_t){.fire = run_sync, .ctx = task};
-	task->hearing = hearing_new(&task->timing, kinds, task->kind_count, STORE_CONFIGURATION,
-				    &ops, task, g_random_int());
+	task->sync_timer = (loop_timer_t){.fire = run_sync, .ctx = task};
+	task->store_sync = hearing_new(&task->timing, kinds, task->kind_count, STORE_CONFIGURATION,
+				       &ops, task, g_random_int());
 	set_watch_times(task, false);
-	hearing_start(task->hearing, loop_now_us());
+	hearing_start(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 }
 
-/* Whatever it is that changes. */
+/* The shorter of the times within which changes must take effect. */
 static uint32_t change_deadline_ms(const settings_t *settings)
 {
 	return settings->leave_ms ? MIN(settings->apply_ms, settings->leave_ms)
@@ -567,8 +578,8 @@
 {
 	static const member_ops_t member_ops = {.changed = on_members,
 						.answered = on_store_answered};
-	static const feed_server_ops_t server_ops = {.heard = on_heard,
-						     .greet = on_get_feed_status};
+	static const feed_server_ops_t server_ops = {.observation = on_subscriber_observation,
+						     .get_status = on_get_feed_status};
 	store_sync_task_t *task = g_new0(store_sync_task_t, 1);
 	const endpoint_setting_t *feed = &settings->front_feed;
 
@@ -576,7 +587,7 @@
 	task->ops = ops;
 	task->ctx = ctx;
 	task->regions = g_hash_table_ref(settings->regions);
-	task->sights = true; /* until it is known that the region is small */
+	task->shares_observations = true; /* until the list of VMs shows that the region is small */
 	task->kind_count = settings->evacuate_ms ? FED_KINDS_MAX : STORE_EVACUATIONS;
 	task->platform = platform;
 	task->timing = feed_timing_for(change_deadline_ms(settings), settings->settle_ms,
@@ -585,26 +596,26 @@
 				       settings->link_mbps, &server_ops, task);
 	if (!task->server)
 		return NULL;
-	task->news_timer = (loop_timer_t){.fire = send_feed_status, .ctx = task};
-	task->sightings = g_byte_array_new();
+	task->status_timer = (loop_timer_t){.fire = send_feed_status, .ctx = task};
+	task->observations = g_byte_array_new();
 	task->observations_timer = (loop_timer_t){.fire = send_observations, .ctx = task};
 	start_followers(task);
 	start_sync(task);
 	platform_task_set_restored(platform, on_restored, task);
 	task->members = member_task_new(loop, platform, own_vm_new(settings), &member_ops, task);
-	loop_timer_set(loop, &task->news_timer, FEED_STATUS_PERIOD_US);
+	loop_timer_set(loop, &task->status_timer, FEED_STATUS_PERIOD_US);
 	return task;
 }
 
 void store_sync_task_refresh(store_sync_task_t *task)
 {
-	hearing_refresh(task->hearing, loop_now_us());
+	hearing_refresh(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 }
 
 void store_sync_task_read_configuration(store_sync_task_t *task)
 {
-	hearing_catch_up(task->hearing, STORE_CONFIGURATION, loop_now_us());
+	hearing_catch_up(task->store_sync, STORE_CONFIGURATION, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -620,7 +631,7 @@
 
 uint64_t store_sync_task_age_us(const store_sync_task_t *task)
 {
-	return hearing_age_us(task->hearing, loop_now_us());
+	return hearing_age_us(task->store_sync, loop_now_us());
 }
 
 uint32_t store_sync_task_kind_count(const store_sync_task_t *task)
@@ -630,12 +641,12 @@
 
 uint64_t store_sync_task_kind_age_us(const store_sync_task_t *task, store_kind_t kind)
 {
-	return hearing_kind_age_us(task->hearing, kind, loop_now_us());
+	return hearing_kind_age_us(task->store_sync, kind, loop_now_us());
 }
 
 bool store_sync_task_is_fed(const store_sync_task_t *task)
 {
-	return hearing_feed(task->hearing) != NULL;
+	return hearing_feed(task->store_sync) != NULL;
 }
 
 uint64_t store_sync_task_era(const store_sync_task_t *task)
--- a/src/tasks/supply_task.h
+++ b/src/tasks/supply_task.h
@@ -1,11 +1,11 @@
 /**
  * @file supply_task.h
- * Supplies a VM with what the platform's store holds: by watching it, or by hearing of it from
- * another VM that does. What is known is handed on to VMs that ask this one.
+ * Keeps this VM's copy of the store's objects current, by watching the platform's store or by a
+ * feed from another VM that watches it. Relays the objects to VMs that subscribe to this one.
  *
- * Whoever feeds this VM may end, freeze or lose the store at any moment, and the store may turn
- * this VM away: whom it hears then, and what it asks, is core/hearing's to say. Here that is
- * carried out.
+ * A feeder may terminate, freeze or lose the store at any moment, and the store may refuse this VM.
+ * core/hearing decides which source the VM uses and which calls it sends; this task carries that
+ * out.
  */
 #ifndef DS_SUPPLY_TASK_H
 #define DS_SUPPLY_TASK_H
@@ -19,44 +19,55 @@
 typedef struct store_sync_task_t store_sync_task_t;
 
 typedef struct store_sync_task_ops_t {
+	/** A complete list begins: `object` follows for each object, then `list_end`. */
 	void (*list_begin)(void *ctx, store_kind_t kind);
+	/** An object of a list, or a changed object; borrowed. */
 	void (*object)(void *ctx, store_kind_t kind, const store_object_t *object);
 	void (*list_end)(void *ctx, store_kind_t kind);
-	/** The store can't be heard, or is heard again. */
+	/** No source of the store's data is available any more, or one has recovered. */
 	void (*lost)(void *ctx);
-	void (*back)(void *ctx);
-	/** The store has come back from a copy; lists of it follow. @param watches whether this VM
-	 * hears it itself, and so does before those that are fed */
+	void (*recovered)(void *ctx);
+	/**
+	 * The store was restored from an older copy of its data; lists of its objects follow.
+	 * @param watches whether this VM watches the store itself, and so receives them before VMs
+	 * that are subscribed to a feeder
+	 */
 	void (*restored)(void *ctx, bool watches);
-	/** Another VM of this region has seen this of a searcher. */
-	void (*sighting)(void *ctx, const observation_t *sighting);
-	/** The number of VMs may have changed. */
+	/** Another VM of this region shared an observation of a searcher. */
+	void (*observation)(void *ctx, const observation_t *observation);
+	/** The list of registered VMs may have changed. */
 	void (*members)(void *ctx);
 } store_sync_task_ops_t;
 
-/** NULL when the feed's address can't be listened on. */
+/**
+ * Register this VM, listen for subscribers, and start to read the store.
+ * @return NULL when the feed's address can't be listened on
+ */
 store_sync_task_t *store_sync_task_new(loop_t *loop, const settings_t *settings,
 				       platform_task_t *platform, const store_sync_task_ops_t *ops,
 				       void *ctx);
-/** What is known may be old, as after a freeze: read it anew. */
+/** This VM's copy may be stale, for example after a freeze: read the store again. */
 void store_sync_task_refresh(store_sync_task_t *task);
-/** Another VM knows a later configuration: read it now. */
+/** Another VM has a newer configuration: read it now. */
 void store_sync_task_read_configuration(store_sync_task_t *task);
-/** Tell the VMs of this region, soon, if they are so many that it is of use. */
-void store_sync_task_publish(store_sync_task_t *task, const observation_t *sighting);
-/** VMs registered, vm_t; empty until the first list. */
+/**
+ * Share an observation, after a short delay, with the VMs of this region. Nothing is shared in a
+ * region with too few VMs for it to be useful.
+ */
+void store_sync_task_publish(store_sync_task_t *task, const observation_t *observation);
+/** The registered VMs, vm_t; empty until the first list is read. */
 const GPtrArray *store_sync_task_vms(const store_sync_task_t *task);
-/** What is known of the VMs with whom cold searchers are shared; borrows. */
+/** What this VM knows of the VMs that share the rate limit on cold searchers with it; borrowed. */
 cold_members_t store_sync_task_cold_members(const store_sync_task_t *task);
-/** Since the store was last heard, by whoever watches it. */
+/** Age of the data: time since the store last answered the VM that watches it. */
 uint64_t store_sync_task_age_us(const store_sync_task_t *task);
-/** The kinds of objects that are supplied: 0 to this. */
+/** Number of kinds of objects that are kept current: the kinds below this. */
 uint32_t store_sync_task_kind_count(const store_sync_task_t *task);
-/** Since this VM itself last heard the store of one kind. */
+/** Time since the store last answered this VM itself for one kind. */
 uint64_t store_sync_task_kind_age_us(const store_sync_task_t *task, store_kind_t kind);
-/** The store's era; 0 before any is heard of. */
+/** The store era; 0 until one is observed. */
 uint64_t store_sync_task_era(const store_sync_task_t *task);
-/** Whether another VM feeds this one. */
+/** Whether this VM is subscribed to a feeder. */
 bool store_sync_task_is_fed(const store_sync_task_t *task);
 
 #endif
