--- a/src/tasks/follower.c
+++ b/src/tasks/follower.c
@@ -9,22 +9,22 @@
 	store_kind_t kind;
 	const follower_ops_t *ops;
 	void *ctx;
-	char *after;	       /* the list's last name so far; NULL at its start */
-	uint64_t since;	       /* revision up to which everything is known */
-	uint64_t asked_us;     /* when the call that is out was sent */
-	struct fetch_t *fetch; /* the call that is out; NULL: none */
+	char *after;	       /* last name of the list's pages read so far; NULL at its start */
+	uint64_t since;	       /* revision up to which all changes are known */
+	uint64_t sent_us;      /* when the outstanding call was sent */
+	struct fetch_t *fetch; /* the outstanding call; NULL: none */
 };
 
-/** A call; its reply counts while it is its follower's. */
+/** A call; its reply is ignored unless it is still its follower's outstanding call. */
 typedef struct fetch_t {
 	follower_t *follower;
-	bool lists;
+	bool is_list; /* a list call; else a watch */
 } fetch_t;
 
 /*
- * Whatever is under way is ignored. After the VM stood still, the reply to its old watch is read
- * before anything new is asked; taken for a page of the list it would drop every searcher, and
- * every request would be refused until searchers change.
+ * The outstanding call is cancelled because its reply must be ignored. After the VM was suspended,
+ * the reply to its old watch is read before a new call is sent. If it were taken for a page of the
+ * list, every searcher would be removed, and every request refused until searchers change.
  */
 void follower_restart_list(follower_t *follower)
 {
@@ -44,7 +44,7 @@
 	const store_object_t *last;
 
 	if (!follower->after) {
-		/* Changes while later pages are read come again by the watch. */
+		/* The watch repeats changes that happen while later pages are read. */
 		follower->since = page->as_of;
 		follower->ops->list_begin(follower->ctx);
 	}
@@ -66,10 +66,11 @@
 	return page->objects->len ? HEARING_CHANGED : HEARING_HEARD;
 }
 
-static hearing_end_t take_result(follower_t *follower, bool lists, const platform_result_t *result)
+static hearing_end_t apply_result(follower_t *follower, bool is_list,
+				  const platform_result_t *result)
 {
 	store_page_t page = {0};
-	hearing_end_t end = HEARING_REFUSED;
+	hearing_end_t sync_result = HEARING_REFUSED;
 
 	if (result->reach == PLATFORM_TIMED_OUT)
 		return HEARING_SILENT;
@@ -79,19 +80,20 @@
 		return HEARING_GONE;
 	}
 	if (result->status == 200 && store_read_page(result->body, &page))
-		end = lists ? apply_list_page(follower, &page) : apply_changes(follower, &page);
+		sync_result =
+			is_list ? apply_list_page(follower, &page) : apply_changes(follower, &page);
 	store_page_clear(&page);
-	return end;
+	return sync_result;
 }
 
-/* What was asked while the store did not answer, when, and how it ended. */
-static void log_failure(const follower_t *follower, bool lists, const platform_result_t *result)
+/* Logs which call failed while the store did not answer, why, and how long it took. */
+static void log_failure(const follower_t *follower, bool is_list, const platform_result_t *result)
 {
 	g_message("event=store-call-failed kind=%s call=%s reason=%s status=%d "
 		  "took_us=%" G_GUINT64_FORMAT,
-		  store_kind_name(follower->kind), lists ? "list" : "watch",
+		  store_kind_name(follower->kind), is_list ? "list" : "watch",
 		  platform_reach_name(result->reach), result->status,
-		  loop_now_us() - follower->asked_us);
+		  loop_now_us() - follower->sent_us);
 }
 
 static void on_fetched(void *ctx, const platform_result_t *result)
@@ -99,17 +101,17 @@
 	fetch_t *fetch = ctx;
 	follower_t *follower = fetch->follower;
 	bool current = follower->fetch == fetch;
-	bool lists = fetch->lists;
-	hearing_end_t end;
+	bool is_list = fetch->is_list;
+	hearing_end_t sync_result;
 
 	g_free(fetch);
 	if (!current)
 		return;
 	follower->fetch = NULL;
-	end = take_result(follower, lists, result);
-	if (end >= HEARING_REFUSED)
-		log_failure(follower, lists, result);
-	follower->ops->ended(follower->ctx, end);
+	sync_result = apply_result(follower, is_list, result);
+	if (sync_result >= HEARING_REFUSED)
+		log_failure(follower, is_list, result);
+	follower->ops->ended(follower->ctx, sync_result);
 }
 
 void follower_cancel(follower_t *follower)
@@ -128,9 +130,9 @@
 	fetch_t *fetch = g_new(fetch_t, 1);
 
 	follower_cancel(follower);
-	*fetch = (fetch_t){.follower = follower, .lists = call->list};
+	*fetch = (fetch_t){.follower = follower, .is_list = call->list};
 	follower->fetch = fetch;
-	follower->asked_us = loop_now_us();
+	follower->sent_us = loop_now_us();
 	platform_task_fetch(follower->platform, target, call->timeout_us, on_fetched, fetch);
 }
 
--- a/src/tasks/follower.h
+++ b/src/tasks/follower.h
@@ -1,10 +1,11 @@
 /**
  * @file follower.h
- * Asks the platform's store about one kind of objects, and hands over what it says: a whole list,
- * then its changes. What is asked, and when, is for others to say (core/hearing.h).
+ * Runs list and watch calls to the platform's store for one kind of object, and passes on the
+ * objects received: a complete list, then changes. core/hearing.h decides which call to send, and
+ * when.
  *
- * When the store does not answer, what is known is kept; the watch goes on from the same revision
- * once it is back.
+ * While the store does not answer, known objects are kept; once it has recovered, the watch
+ * continues from the same revision.
  */
 #ifndef DS_FOLLOWER_H
 #define DS_FOLLOWER_H
@@ -17,20 +18,20 @@
 
 typedef struct follower_ops_t {
 	void (*list_begin)(void *ctx);
-	/** An object of the list, or one that has changed; borrowed. */
+	/** An object of the list, or a changed object; borrowed. */
 	void (*object)(void *ctx, const store_object_t *object);
 	void (*list_end)(void *ctx);
-	/** The call has ended, and all that it said was handed over. */
-	void (*ended)(void *ctx, hearing_end_t end);
+	/** The call has ended, and all objects of its reply were passed on. */
+	void (*ended)(void *ctx, hearing_end_t result);
 } follower_ops_t;
 
 follower_t *follower_new(platform_task_t *platform, store_kind_t kind, const follower_ops_t *ops,
 			 void *ctx);
-/** One call; one that is out counts no more. */
+/** Send a call. A call that is still outstanding is cancelled. */
 void follower_call(follower_t *follower, const hearing_call_t *call);
-/** The call that is out counts no more: `ended` does not follow. */
+/** Cancel the outstanding call, if any: `ended` is not called for it. */
 void follower_cancel(follower_t *follower);
-/** The list is read from its start. */
+/** Cancel the outstanding call; the next list call reads the list from its start. */
 void follower_restart_list(follower_t *follower);
 
 #endif
