--- a/src/tasks/member_task.c
+++ b/src/tasks/member_task.c
@@ -2,29 +2,36 @@
  * @file member_task.c
  * See member_task.h.
  *
- * A VM that ended stays registered: a share of connections or of a budget is then too small, never
- * too large. One that starts again finds itself registered, and writes nothing.
+ * A VM that has terminated stays registered: shares of connections and budgets are then too small,
+ * never too large. A VM that is restarted finds its own registration, and writes nothing.
  */
 #include "tasks/member_task.h"
 
 #include <string.h>
 
 #define CALL_TIMEOUT_US 1500000
-/* All VMs of a new deployment register within the first seconds; later on, new ones are rare, and a
- * read that may be old costs a tenth of a call. */
+/*
+ * All VMs of a new deployment register within the first seconds; later, new VMs are rare. A list
+ * read that may be stale costs a tenth of a call.
+ */
 #define INITIAL_LIST_PERIOD_US 1500000
 #define INITIAL_LISTS 4
 /* VMs of a new deployment start within 0.3 s of each other, and a call takes up to 0.1 s. */
 #define OTHERS_REGISTER_DELAY_US 600000
 #define LIST_PERIOD_US 12000000
-/* Between tries at the start, doubled each time. A VM that starts knows nothing until the store
- * answers, and refuses everything: after a loss of all VMs during an outage, whatever lies between
- * two tries is lost of the store's return. */
-#define RETRY_FIRST_US 100000
-#define RETRY_MOST_US 1000000
+/*
+ * Retry delay at the start, doubled after each failure. A VM that starts refuses all requests until
+ * the store answers: when all VMs are lost during an outage of the store, the delay between two
+ * tries adds to the outage after the store has recovered.
+ */
+#define RETRY_INITIAL_US 100000
+#define RETRY_MAX_US 1000000
 #define STATUS_EXISTS 409
-/* After the store came back from a copy: VMs that it has lost register again within the first, each
- * at a moment of its own, and count as registered for the second. */
+/*
+ * After the store was restored from an older copy of its data, VMs that it has lost register again
+ * within REREGISTER_MAX_US, each after a random delay, and count as registered for
+ * LOST_VM_GRACE_US.
+ */
 #define REREGISTER_MAX_US 4000000
 #define LOST_VM_GRACE_US 30000000
 
@@ -34,27 +41,27 @@
 	vm_t *own;
 	const member_ops_t *ops;
 	void *ctx;
-	GPtrArray *vms;	      /* vm_t */
-	GPtrArray *reading;   /* the same, of the list whose pages are being read */
-	char *after;	      /* the last name so far; NULL at the start of a list */
-	uint32_t lists;	      /* told since the start */
-	uint64_t asked_us;    /* when the list that is being read was asked for */
-	uint64_t listed_us;   /* when the last whole one was; 0: never */
-	uint64_t restored_us; /* when the store came back from a copy; 0: it did not */
-	uint64_t member_us;   /* since when lists name this VM, and no list has lost a VM */
+	GPtrArray *vms;	       /* vm_t */
+	GPtrArray *reading;    /* vm_t of the list whose pages are being read */
+	char *after;	       /* last name of the pages read so far; NULL at the start of a list */
+	uint32_t lists;	       /* lists reported since the start, failed ones too */
+	uint64_t requested_us; /* when the list that is being read was requested */
+	uint64_t listed_us;    /* when the last complete list was requested; 0: none yet */
+	uint64_t restored_us;  /* when the store was restored from an older copy; 0: never */
+	uint64_t member_us; /* since when lists contain this VM, and none has lost a VM; 0: not */
 	bool registered;
-	bool exists;	   /* another start of this VM has registered it, with other words */
-	uint32_t failures; /* in a row, until it is registered */
+	bool exists;	   /* an earlier run of this VM registered it, with other content */
+	uint32_t failures; /* failed calls until this VM is registered */
 	loop_timer_t list_timer;
 	loop_timer_t register_timer;
 };
 
 static uint64_t retry_delay_us(member_task_t *task)
 {
-	uint64_t most_us = RETRY_FIRST_US << MIN(task->failures, 8);
+	uint64_t delay_us = RETRY_INITIAL_US << MIN(task->failures, 8);
 
 	task->failures++;
-	return MIN(most_us, RETRY_MOST_US);
+	return MIN(delay_us, RETRY_MAX_US);
 }
 
 /* ---- registering ---- */
@@ -89,8 +96,8 @@
 }
 
 /*
- * The list says whether there is anything to write. When all VMs of a fleet start again, each would
- * otherwise make two calls for what stands there already.
+ * Writes this VM's registration only if the list lacks it or differs. Otherwise, when all VMs of a
+ * fleet are restarted, each would make two calls for a registration that exists already.
  */
 static void check_registration(member_task_t *task, const vm_t *listed)
 {
@@ -103,11 +110,11 @@
 	register_own(task);
 }
 
-/* ---- the others ---- */
+/* ---- the list of VMs ---- */
 
 static void list(void *ctx);
 
-static void take_page(member_task_t *task, const store_page_t *page)
+static void read_vms(member_task_t *task, const store_page_t *page)
 {
 	for (guint i = 0; i < page->objects->len; i++) {
 		const store_object_t *object = &g_array_index(page->objects, store_object_t, i);
@@ -125,7 +132,7 @@
 			g_array_index(page->objects, store_object_t, page->objects->len - 1).name);
 }
 
-static void tell(member_task_t *task)
+static void report_list(member_task_t *task)
 {
 	task->lists++;
 	task->ops->changed(task->ctx);
@@ -138,7 +145,7 @@
 	return ((const vm_t *)g_ptr_array_index(vms, index))->name;
 }
 
-/* The store lists by name. */
+/* Both lists are sorted by name, as the store lists them. */
 static bool contains_all(const GPtrArray *vms, const GPtrArray *former)
 {
 	guint next = 0;
@@ -152,13 +159,15 @@
 	return true;
 }
 
-/* What cold searchers are sent rests on lists that only grow: one that has lost a VM starts the
- * wait anew. */
+/*
+ * This VM's share of the rate limit on cold searchers is valid only while the list of VMs grows: a
+ * list that has lost a VM restarts the wait.
+ */
 static void update_list_times(member_task_t *task, const GPtrArray *former)
 {
 	uint64_t now_us = loop_now_us();
 
-	task->listed_us = task->asked_us;
+	task->listed_us = task->requested_us;
 	if (!vm_find(task->vms, task->own->name))
 		task->member_us = 0;
 	else if (!task->member_us || !contains_all(task->vms, former))
@@ -171,8 +180,9 @@
 }
 
 /*
- * VMs that a restored store has lost are about to register again. Without them each of the others
- * would take a larger share of the searchers' connections and of the retries.
+ * VMs that a restored store has lost will register again soon. If they were dropped from the list
+ * meanwhile, each other VM would take a larger share of the searchers' connections and of the
+ * retries.
  */
 static void retain_missing(member_task_t *task, const GPtrArray *former)
 {
@@ -187,8 +197,10 @@
 	g_ptr_array_sort(task->vms, by_name);
 }
 
-/* Before this VM is registered, others that start with it may not be either: nothing is told then,
- * or all of them would take themselves to be the first. */
+/*
+ * Until this VM is registered, no list is reported: other VMs that start at the same time may not
+ * be registered either, and each would take itself for the first VM.
+ */
 static void end_list(member_task_t *task)
 {
 	GPtrArray *former = task->vms;
@@ -204,7 +216,7 @@
 		check_registration(task, listed);
 	}
 	if (task->registered)
-		tell(task);
+		report_list(task);
 }
 
 static void list_failed(member_task_t *task, int status)
@@ -212,7 +224,7 @@
 	g_info("event=vms-not-listed status=%d outcome=again", status);
 	g_clear_pointer(&task->after, g_free);
 	if (task->registered) {
-		tell(task);
+		report_list(task);
 		return;
 	}
 	task->ops->answered(task->ctx, false);
@@ -226,7 +238,7 @@
 	bool read = result->status == 200 && store_read_page(result->body, &page);
 
 	if (read)
-		take_page(task, &page);
+		read_vms(task, &page);
 	store_page_clear(&page);
 	if (!read)
 		list_failed(task, result->status);
@@ -243,7 +255,7 @@
 
 	if (!task->after) {
 		g_ptr_array_set_size(task->reading, 0);
-		task->asked_us = loop_now_us();
+		task->requested_us = loop_now_us();
 	}
 	platform_task_fetch(task->platform, target, CALL_TIMEOUT_US, on_listed, task);
 }
--- a/src/tasks/own_vm.h
+++ b/src/tasks/own_vm.h
@@ -1,6 +1,6 @@
 /**
  * @file own_vm.h
- * This VM as its settings describe it.
+ * Builds this VM's registration from its settings.
  */
 #ifndef DS_OWN_VM_H
 #define DS_OWN_VM_H
@@ -8,6 +8,7 @@
 #include "core/vm.h"
 #include "settings.h"
 
+/** Free with vm_free(). */
 vm_t *own_vm_new(const settings_t *settings);
 
 #endif
