--- a/src/tasks/platform_task.c
+++ b/src/tasks/platform_task.c
@@ -15,7 +15,10 @@
 #define CALL_SLOTS PLATFORM_FETCHES_MAX
 #define CALL_TIMEOUT_US 1000000
 #define WATCH_MS 4000
-/* A watch whose connection went silent must not hide changes: past its own time it is given up. */
+/*
+ * A watch whose connection failed silently would hide changes: it is cancelled this long after its
+ * own time-out.
+ */
 #define WATCH_GRACE_US 1500000
 #define PENDING_CALLS_MAX 1024
 
@@ -88,7 +91,7 @@
 	}
 }
 
-/* Objects of other writers may hold bytes that are no JSON; the rest of the reply holds. */
+/* Objects of other writers may contain invalid JSON; the rest of the reply is still used. */
 static json_t *read_body(const platform_call_t *call, const GString *text)
 {
 	uint32_t damaged = 0;
@@ -109,14 +112,14 @@
 
 store_era_change_t platform_task_observe_era(platform_task_t *task, uint64_t number)
 {
-	store_era_change_t news = store_era_observe(&task->era, number);
+	store_era_change_t change = store_era_observe(&task->era, number);
 
-	if (news != STORE_ERA_NEWER)
-		return news;
+	if (change != STORE_ERA_NEWER)
+		return change;
 	g_message("event=store-restored era=%" G_GUINT64_FORMAT " outcome=read-anew", number);
 	if (task->restored)
 		task->restored(task->restored_ctx);
-	return news;
+	return change;
 }
 
 uint64_t platform_task_era(const platform_task_t *task)
@@ -125,8 +128,9 @@
 }
 
 /*
- * Whether the reply is of the store as it is now. One that it gave before it came back from a copy
- * may have been on its way: what it tells is gone, and so may be what it says was written.
+ * Whether the reply belongs to the current store era. A reply that the store sent before it was
+ * restored from an older copy may arrive afterwards: the objects in it are lost, and a write that
+ * it confirms may be lost, too.
  */
 static bool is_current(platform_task_t *task, const http_call_t *http)
 {
@@ -167,7 +171,7 @@
 	return names[reach];
 }
 
-static void give_result(platform_call_t *call, const http_call_t *http)
+static void deliver_result(platform_call_t *call, const http_call_t *http)
 {
 	platform_result_t result = {.end = PLATFORM_UNKNOWN, .reach = reach_of(http)};
 	json_t *body = NULL;
@@ -199,7 +203,7 @@
 	loop_timer_cancel(&call->timer);
 	if (!call->watch)
 		task->slots[call->slot] = NULL;
-	give_result(call, http);
+	deliver_result(call, http);
 	call_free(call);
 	start_pending(task);
 }
