--- a/src/tasks/peer_task.c
+++ b/src/tasks/peer_task.c
@@ -28,7 +28,7 @@
 	uint32_t open;
 };
 
-/** One connection, either way. */
+/** One connection, dialled or accepted. */
 typedef struct exchange_t {
 	peer_task_t *task;
 	struct lws *wsi;
@@ -37,7 +37,7 @@
 	uint16_t port;
 	GByteArray *in;
 	GByteArray *out; /* NULL when there is nothing to send */
-	bool answered;	 /* dialled: a good reply has come */
+	bool answered;	 /* dialled: a valid reply has arrived */
 	bool ended;
 	loop_timer_t timer;
 } exchange_t;
@@ -129,7 +129,7 @@
 	lws_callback_on_writable(exchange->wsi);
 }
 
-/* -1 closes the connection: it is done with, or what came is not to be trusted. */
+/* Returns -1 to close the connection: the exchange is complete, or the frame is invalid. */
 static int process_frame(exchange_t *exchange, size_t bytes)
 {
 	peer_task_t *task = exchange->task;
@@ -154,17 +154,18 @@
 
 static int on_received_bytes(exchange_t *exchange, const uint8_t *data, size_t bytes)
 {
-	size_t whole;
+	size_t frame_length;
 
 	g_byte_array_append(exchange->in, data, (guint)bytes);
 	if (exchange->in->len < FRAME_LENGTH_BYTES)
 		return 0;
-	whole = frame_bytes(exchange->in->data, exchange->in->len);
-	if (!whole || exchange->in->len > whole || exchange->in->len > READ_LIMIT_BYTES) {
+	frame_length = frame_bytes(exchange->in->data, exchange->in->len);
+	if (!frame_length || exchange->in->len > frame_length ||
+	    exchange->in->len > READ_LIMIT_BYTES) {
 		timeline_add(exchange->task->timeline, "event=peer-rejected reason=length");
 		return -1;
 	}
-	return exchange->in->len == whole ? process_frame(exchange, whole) : 0;
+	return exchange->in->len == frame_length ? process_frame(exchange, frame_length) : 0;
 }
 
 static int on_event(struct lws *wsi, enum lws_callback_reasons reason, void *user, void *in,
@@ -205,7 +206,7 @@
 	}
 }
 
-/* ---- the gossip's effects ---- */
+/* ---- callbacks of the gossip ---- */
 
 typedef struct dial_message_t {
 	char *address;
@@ -269,7 +270,7 @@
 static const gossip_ops_t gossip_ops = {
 	.exchange = do_exchange, .config = do_config, .leaving = do_leaving};
 
-/* ---- news from here ---- */
+/* ---- announcements of this VM ---- */
 
 static void on_config(void *ctx, uint64_t number, json_t *value)
 {
@@ -321,7 +322,8 @@
 peer_task_t *peer_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries,
 			   timeline_t *timeline)
 {
-	static const query_task_announce_ops_t news = {.config = on_config, .leaving = on_leaving};
+	static const query_task_announce_ops_t announce_ops = {.config = on_config,
+							       .leaving = on_leaving};
 	peer_task_t *task = g_new0(peer_task_t, 1);
 	const gossip_self_t self = {.name = settings->vm_name,
 				    .data_centre = settings->data_centre,
@@ -341,7 +343,7 @@
 		return NULL;
 	}
 	task->gossip = gossip_new(&gossip_ops, task, &self, timeline);
-	query_task_set_announce_ops(queries, &news, task);
+	query_task_set_announce_ops(queries, &announce_ops, task);
 	task->tick = (loop_timer_t){.fire = on_tick, .ctx = task};
 	loop_timer_set(loop, &task->tick, 0);
 	return task;
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -20,8 +20,8 @@
 	loop_t *loop;
 	const query_task_ops_t *ops;
 	void *ctx;
-	const query_task_announce_ops_t *news; /* NULL before there are peers */
-	void *news_ctx;
+	const query_task_announce_ops_t *announce_ops; /* NULL until it is set */
+	void *announce_ctx;
 	engine_t *engine;
 	claims_t *claims;
 	adoption_t adoption;
@@ -45,13 +45,13 @@
 	json_t *value;
 } config_message_t;
 
-/** A platform call of the claims on its way. */
+/** An outstanding platform call of the claims. */
 typedef struct bucket_call_t {
 	query_task_t *task;
 	uint32_t bucket;
 } bucket_call_t;
 
-/* The engine's clock never stands behind a timer that has fired, and never goes back. */
+/* The engine's clock is never behind a timer that has fired, and never goes backwards. */
 static void arm(query_task_t *task)
 {
 	uint64_t now = loop_now_us();
@@ -85,7 +85,7 @@
 	arm(task);
 }
 
-/* ---- the engine's effects ---- */
+/* ---- callbacks of the engine ---- */
 
 static const service_t *service_of(const attempt_t *attempt)
 {
@@ -108,8 +108,8 @@
 	sub->headers = once ? action_sub_headers(attempt->query) : NULL;
 	sub->body = once ? g_strdup(request->body) : NULL;
 	/*
-	 * A kept-alive connection may have gone silent: an action sent on it would end as unknown.
-	 * A rescue on one would be swallowed in its turn.
+	 * A keep-alive connection may have failed silently: the outcome of an action sent on it
+	 * would be unknown. A rescue sent on it would be lost like the attempt that it replaces.
 	 */
 	sub->fresh_connection = once || attempt->kind == ATTEMPT_RETRY;
 	upstream_task_send(task->upstreams, sub);
@@ -147,7 +147,7 @@
 		ticket->query = NULL;
 	}
 	reply = g_new0(ticket_reply_t, 1);
-	reply->ticket = ticket; /* the engine's reference passes on */
+	reply->ticket = ticket; /* takes the engine's reference */
 	query->owner = NULL;
 	reply->status = refusal_class(answer->refusal)->status;
 	reply->retry_after_us = answer->retry_after_us;
@@ -183,8 +183,10 @@
 		       loop_now_us(), loop_wall_ms());
 }
 
-/* Many queries find out at once that versions have changed; one look at the searchers serves them
- * all. */
+/*
+ * Many queries notice a change of versions at the same time; one probe of the searchers serves all
+ * of them.
+ */
 static void do_refresh(void *ctx, const service_t *service)
 {
 	query_task_t *task = ctx;
@@ -201,8 +203,8 @@
 {
 	query_task_t *task = ctx;
 
-	if (task->news)
-		task->news->leaving(task->news_ctx, upstream->service, upstream->name);
+	if (task->announce_ops)
+		task->announce_ops->leaving(task->announce_ctx, upstream->service, upstream->name);
 }
 
 static const engine_ops_t engine_ops = {.send = do_send,
@@ -213,7 +215,7 @@
 					.refresh = do_refresh,
 					.leaving = do_leaving};
 
-/* ---- the claims' effects ---- */
+/* ---- callbacks of the claims ---- */
 
 static char *bucket_path(uint32_t bucket)
 {
@@ -263,12 +265,12 @@
 			    bucket_call_new(task, bucket));
 }
 
-static void do_claim_ended(void *ctx, void *owner, claim_end_t end)
+static void do_claim_ended(void *ctx, void *owner, claim_end_t result)
 {
 	query_task_t *task = ctx;
 	query_t *query = owner;
 
-	engine_claimed(task->engine, query, end, loop_now_us());
+	engine_claimed(task->engine, query, result, loop_now_us());
 	query_unref(query);
 }
 
@@ -285,15 +287,16 @@
 	arm(task);
 }
 
-static void on_probed(void *ctx, void *upstream, upstream_report_t *report, probe_end_t end)
+static void on_probed(void *ctx, void *upstream, upstream_report_t *report, probe_end_t result)
 {
 	query_task_t *task = ctx;
 
-	if (end == PROBE_REPORTED) {
+	if (result == PROBE_REPORTED) {
 		engine_health(task->engine, upstream, report, loop_now_us());
 		upstream_report_free(report);
-	} else if (end != PROBE_UNKNOWN) {
-		engine_health_failed(task->engine, upstream, end == PROBE_REFUSED, loop_now_us());
+	} else if (result != PROBE_UNKNOWN) {
+		engine_health_failed(task->engine, upstream, result == PROBE_REFUSED,
+				     loop_now_us());
 	}
 	upstream_unref(upstream);
 	arm(task);
@@ -321,7 +324,7 @@
 						     PROBE_PERIOD_US * 1.25));
 }
 
-/* ---- messages from callers and from those who hear of configurations ---- */
+/* ---- messages from the caller, config and peer tasks ---- */
 
 static void receive_submit(void *self, void *message)
 {
@@ -330,7 +333,7 @@
 	ticket_t *ticket = submit->ticket;
 	query_t *query;
 
-	/* The engine's reference to the ticket passes to the reply, or is dropped on abandon. */
+	/* The reply takes the engine's reference to the ticket; receive_abandon() drops it. */
 	query = engine_submit(task->engine, submit->request, ticket, loop_now_us());
 	if (query->finished)
 		query_unref(query);
@@ -358,9 +361,9 @@
 		engine_abandon(task->engine, ticket->query, loop_now_us());
 		query_unref(ticket->query);
 		ticket->query = NULL;
-		ticket_unref(ticket); /* the engine's */
+		ticket_unref(ticket); /* the engine's reference */
 	}
-	ticket_unref(ticket); /* the message's */
+	ticket_unref(ticket); /* the message's reference */
 	arm(task);
 }
 
@@ -379,8 +382,8 @@
 	switch (adoption_offer(&task->adoption, offer->number, offer->value, &err)) {
 	case ADOPTION_TAKEN:
 		engine_configure(task->engine, task->adoption.config, loop_now_us());
-		if (task->news)
-			task->news->config(task->news_ctx, offer->number, offer->value);
+		if (task->announce_ops)
+			task->announce_ops->config(task->announce_ctx, offer->number, offer->value);
 		if (first)
 			probe_all(task);
 		break;
@@ -413,29 +416,29 @@
 static void receive_leave_notice(void *self, void *message)
 {
 	query_task_t *task = self;
-	leave_notice_message_t *told = message;
+	leave_notice_message_t *notice = message;
 
-	engine_told_leaving(task->engine, told->service, told->upstream, loop_now_us());
-	g_free(told->service);
-	g_free(told->upstream);
-	g_free(told);
+	engine_told_leaving(task->engine, notice->service, notice->upstream, loop_now_us());
+	g_free(notice->service);
+	g_free(notice->upstream);
+	g_free(notice);
 	arm(task);
 }
 
 void query_task_leave_notice(query_task_t *task, const char *service, const char *upstream)
 {
-	leave_notice_message_t *told = g_new(leave_notice_message_t, 1);
+	leave_notice_message_t *notice = g_new(leave_notice_message_t, 1);
 
-	*told = (leave_notice_message_t){.service = g_strdup(service),
-					 .upstream = g_strdup(upstream)};
-	loop_post(task->loop, receive_leave_notice, task, told);
+	*notice = (leave_notice_message_t){.service = g_strdup(service),
+					   .upstream = g_strdup(upstream)};
+	loop_post(task->loop, receive_leave_notice, task, notice);
 }
 
-void query_task_set_announce_ops(query_task_t *task, const query_task_announce_ops_t *news,
+void query_task_set_announce_ops(query_task_t *task, const query_task_announce_ops_t *ops,
 				 void *ctx)
 {
-	task->news = news;
-	task->news_ctx = ctx;
+	task->announce_ops = ops;
+	task->announce_ctx = ctx;
 }
 
 /* ---- set-up and status ---- */
@@ -445,7 +448,7 @@
 {
 	query_task_t *task = g_new0(query_task_t, 1);
 	guint32 seed = g_random_int();
-	/* Never the same for two starts: a restarted VM must not take an old claim for its own. */
+	/* Unique to this run: a restarted VM must not take an earlier run's claim for its own. */
 	g_autofree char *holder = g_strdup_printf("%s.%" G_GUINT64_FORMAT ".%08x",
 						  settings->vm_name, loop_wall_ms(), seed);
 
@@ -487,7 +490,8 @@
 	for (guint i = 0; i < service->upstreams->len; i++) {
 		const upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
 
-		/* One that is down is heard of; one not asked yet would make answers partial. */
+		/* A searcher that is down has a known status. One that was not probed yet would
+		 * make answers partial. */
 		if (upstream->state == UPSTREAM_UNKNOWN && upstream->failures == 0)
 			return false;
 	}
