--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -6,7 +6,7 @@
 
 #include "core/evacuation.h"
 
-/* Names of unreadable entries that are remembered, so that each is logged once. */
+/* Names of invalid entries that are remembered, so that each is logged once. */
 #define UNREADABLE_MAX 256
 
 struct store_reader_t {
@@ -18,13 +18,13 @@
 	poison_task_t *poison;
 	evacuations_t *evacuations;
 	GHashTable *regions;	/* data centre to region */
-	GHashTable *unreadable; /* names of entries that were said to be so */
+	GHashTable *unreadable; /* names of invalid entries that were logged */
 	loop_timer_t registry_timer;
 	loop_timer_t evacuations_timer;
 	store_reader_counters_t counters;
 };
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
 static void run_registry(void *ctx)
 {
@@ -48,7 +48,7 @@
 
 /* ---- searchers ---- */
 
-/* One line a name, until it is read again: each list repeats what is wrong. */
+/* Logs each name once until its entry can be parsed again, as each list repeats invalid entries. */
 static void log_unreadable(store_reader_t *reader, const char *name, const char *reason)
 {
 	g_autofree char *escaped = g_strescape(name, NULL);
@@ -93,7 +93,7 @@
 	registry_set_evacuated(reader->registry, data_centre, evacuated, loop_now_us());
 }
 
-/* One that names no data centre is a slip of its operator's: its searchers go on being used. */
+/* An evacuation that names no data centre is an operator's mistake; all searchers stay in use. */
 static void apply_evacuation_object(store_reader_t *reader, const store_object_t *object)
 {
 	if (object->removed) {
@@ -112,7 +112,8 @@
 
 /* ---- the configuration ---- */
 
-/* The route is served by nobody: more likely a slip of the operator's than meant. */
+/* No searcher serves a route bound to an unknown region: more likely an operator's mistake than
+ * intended. */
 static void log_unknown_regions(store_reader_t *reader, const routing_t *routing)
 {
 	const route_t *route = NULL;
@@ -125,7 +126,7 @@
 			  route->name, region, reader->counters.regions_unknown);
 }
 
-/* A version once in force is never followed by an older one. */
+/* A configuration never replaces a newer version. */
 static void apply_configuration(store_reader_t *reader, const store_object_t *object)
 {
 	const routing_t *current = forwarder_routing(reader->forwarder);
@@ -223,7 +224,10 @@
 	run_registry(reader);
 }
 
-/* VMs that watch the store tell it first; the others hear that it is told. */
+/*
+ * VMs that watch the store publish their suspect requests again first; the other VMs learn from the
+ * store's objects that these are published.
+ */
 void store_reader_store_restored(store_reader_t *reader, bool watches)
 {
 	uint64_t now_us = loop_now_us();
--- a/src/tasks/store_reader.h
+++ b/src/tasks/store_reader.h
@@ -1,7 +1,8 @@
 /**
  * @file store_reader.h
- * Takes in what the platform's store holds: searchers, evacuations, the configuration, and requests
- * that crash searchers. What can't be read is logged once, counted, and changes nothing.
+ * Applies the platform store's objects: searchers, evacuations, the configuration, and requests
+ * that crash searchers. An object that can't be parsed is logged once, counted, and changes
+ * nothing.
  */
 #ifndef DS_STORE_READER_H
 #define DS_STORE_READER_H
@@ -14,11 +15,11 @@
 typedef struct store_reader_t store_reader_t;
 
 typedef struct store_reader_ops_t {
-	/** @p routing is in force. */
+	/** @p routing came into force. */
 	void (*configured)(void *ctx, const routing_t *routing);
 } store_reader_ops_t;
 
-/** What is read into; borrowed, but for the regions. */
+/** The modules that objects are applied to; borrowed, except for the regions. */
 typedef struct store_reader_parts_t {
 	registry_t *registry;
 	forwarder_t *forwarder;
@@ -29,23 +30,29 @@
 /** Counters, for metrics. */
 typedef struct store_reader_counters_t {
 	uint64_t entries_ignored;	 /**< reads of entries that name no searcher */
-	uint64_t configurations_ignored; /**< reads of some that can't be read */
-	uint64_t evacuations_ignored;	 /**< reads of some that name no data centre */
-	uint32_t regions_unknown;	 /**< that routes are bound to, and no data centre is in */
+	uint64_t configurations_ignored; /**< reads of configurations that can't be parsed */
+	uint64_t evacuations_ignored;	 /**< reads of evacuations that name no data centre */
+	uint32_t regions_unknown;	 /**< regions bound to routes, but without a data centre */
 	uint32_t evacuations;		 /**< in force */
 } store_reader_counters_t;
 
 store_reader_t *store_reader_new(loop_t *loop, const store_reader_parts_t *parts,
 				 const store_reader_ops_t *ops, void *ctx);
-/** A whole list of @p kind begins; store_reader_apply() for each, then store_reader_list_end(). */
+/**
+ * A complete list of @p kind begins: store_reader_apply() follows for each object, then
+ * store_reader_list_end().
+ */
 void store_reader_list_begin(store_reader_t *reader, store_kind_t kind);
-/** An object of a list, or one that has changed. */
+/** Apply an object of a list, or a changed object. */
 void store_reader_apply(store_reader_t *reader, store_kind_t kind, const store_object_t *object);
 void store_reader_list_end(store_reader_t *reader, store_kind_t kind);
-/** The store can't be heard, or is heard again. */
+/** The store is unreachable, or has recovered. */
 void store_reader_store_lost(store_reader_t *reader);
 void store_reader_store_recovered(store_reader_t *reader);
-/** It has come back from a copy. @param watches whether this VM hears it itself */
+/**
+ * The store was restored from an older copy of its data.
+ * @param watches whether this VM watches the store itself
+ */
 void store_reader_store_restored(store_reader_t *reader, bool watches);
 store_reader_counters_t store_reader_counters(const store_reader_t *reader);
 
