--- a/src/tasks/caller_task.c
+++ b/src/tasks/caller_task.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #define BODY_LIMIT_BYTES 65536
-#define TIMEOUT_MOST_MS 600000
+#define TIMEOUT_MAX_MS 600000
 #define ID_LIMIT 128
 
 struct caller_task_t {
@@ -24,12 +24,12 @@
 	uint64_t last_request_us;
 };
 
-/** One thing that a caller may ask. */
+/** One kind of request that callers may send. */
 typedef struct route_t {
 	const char *method;
-	const char *tail; /* what follows the service's name in the path */
+	const char *resource; /* path component after the service's name */
 	service_kind_t kind;
-	bool takes_id; /* an id follows the tail */
+	bool takes_id; /* a record id follows the resource */
 	bool (*parse)(http_exchange_t *exchange, const char *id, request_t *request, err_t *err);
 } route_t;
 
@@ -56,13 +56,13 @@
 }
 
 static const route_t routes[] = {
-	{.method = "POST", .tail = "search", .kind = SERVICE_GATHER, .parse = parse_search},
+	{.method = "POST", .resource = "search", .kind = SERVICE_GATHER, .parse = parse_search},
 	{.method = "GET",
-	 .tail = "records",
+	 .resource = "records",
 	 .kind = SERVICE_LOOKUP,
 	 .takes_id = true,
 	 .parse = parse_record},
-	{.method = "POST", .tail = "actions", .kind = SERVICE_ONCE, .parse = parse_action},
+	{.method = "POST", .resource = "actions", .kind = SERVICE_ONCE, .parse = parse_action},
 };
 
 static void reply_problem(http_exchange_t *exchange, refusal_t refusal, const char *detail,
@@ -76,9 +76,9 @@
 			    strlen(text));
 }
 
-/* ---- what every request carries ---- */
+/* ---- headers common to all requests ---- */
 
-static bool id_is_plain(const char *id)
+static bool id_is_valid(const char *id)
 {
 	if (!*id || strlen(id) > ID_LIMIT)
 		return false;
@@ -88,11 +88,11 @@
 	return true;
 }
 
-static bool take_id(caller_task_t *task, http_exchange_t *exchange, request_t *request, err_t *err)
+static bool read_id(caller_task_t *task, http_exchange_t *exchange, request_t *request, err_t *err)
 {
 	const char *id = http_exchange_header(exchange, "request-id");
 
-	if (id && !id_is_plain(id))
+	if (id && !id_is_valid(id))
 		return err_set(err, ERR_VALUE,
 			       "Request-Id must be 1 to %d of letters, digits, '-', '_' and '.'",
 			       ID_LIMIT);
@@ -101,7 +101,7 @@
 	return true;
 }
 
-static bool take_class(http_exchange_t *exchange, request_t *request, err_t *err)
+static bool read_class(http_exchange_t *exchange, request_t *request, err_t *err)
 {
 	const char *text = http_exchange_header(exchange, "request-class");
 
@@ -112,26 +112,26 @@
 	return true;
 }
 
-static bool take_deadline(http_exchange_t *exchange, const service_t *service, request_t *request,
+static bool read_deadline(http_exchange_t *exchange, const service_t *service, request_t *request,
 			  err_t *err)
 {
 	const char *text = http_exchange_header(exchange, "request-timeout-ms");
 	guint64 timeout_ms = service->timeout_us / 1000;
 
-	if (text && !g_ascii_string_to_unsigned(text, 10, 1, TIMEOUT_MOST_MS, &timeout_ms, NULL))
+	if (text && !g_ascii_string_to_unsigned(text, 10, 1, TIMEOUT_MAX_MS, &timeout_ms, NULL))
 		return err_set(err, ERR_VALUE,
 			       "Request-Timeout-Ms must be a whole number from 1 to %d",
-			       TIMEOUT_MOST_MS);
+			       TIMEOUT_MAX_MS);
 	request->deadline_us = loop_now_us() + MIN(timeout_ms * 1000, service->timeout_us);
 	return true;
 }
 
 /* ---- routing ---- */
 
-static const route_t *find_route(const char *tail, bool has_id)
+static const route_t *find_route(const char *resource, bool has_id)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(routes); i++)
-		if (g_str_equal(routes[i].tail, tail) && routes[i].takes_id == has_id)
+		if (g_str_equal(routes[i].resource, resource) && routes[i].takes_id == has_id)
 			return &routes[i];
 	return NULL;
 }
@@ -152,8 +152,8 @@
 
 	request->service = g_strdup(service->name);
 	request->kind = service->kind;
-	if (take_id(task, exchange, request, &err) && take_class(exchange, request, &err) &&
-	    take_deadline(exchange, service, request, &err) &&
+	if (read_id(task, exchange, request, &err) && read_class(exchange, request, &err) &&
+	    read_deadline(exchange, service, request, &err) &&
 	    route->parse(exchange, id, request, &err)) {
 		submit(task, exchange, request);
 		return;
@@ -162,7 +162,7 @@
 	request_free(request);
 }
 
-/* "/v1/services/NAME/TAIL[/ID]" */
+/* "/v1/services/NAME/RESOURCE[/ID]" */
 static void route(caller_task_t *task, http_exchange_t *exchange)
 {
 	g_auto(GStrv) parts = g_strsplit(http_exchange_path(exchange), "/", 0);
@@ -174,7 +174,7 @@
 	const route_t *found = known ? find_route(parts[4], count == 6) : NULL;
 	g_autofree char *detail = NULL;
 
-	if (known && !adoption_number(query_task_adoption(task->queries))) {
+	if (known && !adoption_number(query_task_active_config(task->queries))) {
 		reply_problem(exchange, REFUSAL_NOT_READY, NULL, NULL, 1000000);
 		return;
 	}
@@ -195,14 +195,14 @@
 	if (service->kind != found->kind) {
 		detail = g_strdup_printf("\"%s\" is a %s service; /%s needs a %s one",
 					 service->name, service_kind_name(service->kind),
-					 found->tail, service_kind_name(found->kind));
+					 found->resource, service_kind_name(found->kind));
 		reply_problem(exchange, REFUSAL_BAD_REQUEST, detail, NULL, 0);
 		return;
 	}
 	serve(task, exchange, found, service, count == 6 ? parts[5] : "");
 }
 
-/* ---- the server's side ---- */
+/* ---- HTTP server callbacks ---- */
 
 static void on_request(void *ctx, http_exchange_t *exchange)
 {
@@ -212,7 +212,7 @@
 	route(task, exchange);
 }
 
-static void on_gone(void *ctx, http_exchange_t *exchange)
+static void on_disconnected(void *ctx, http_exchange_t *exchange)
 {
 	caller_task_t *task = ctx;
 	ticket_t *ticket = http_exchange_data(exchange);
@@ -268,7 +268,7 @@
 caller_task_t *caller_task_new(loop_t *loop, const settings_t *settings, query_task_t *queries)
 {
 	static const http_server_ops_t server_ops = {.request = on_request,
-						     .disconnected = on_gone,
+						     .disconnected = on_disconnected,
 						     .error_body = error_body,
 						     .requires_length = true};
 	static const query_task_ops_t query_ops = {.reply = on_reply};
@@ -277,7 +277,7 @@
 	task->loop = loop;
 	task->queries = queries;
 	task->vm_name = g_strdup(settings->vm_name);
-	task->last_id = loop_wall_ms() << 8; /* does not repeat after a restart */
+	task->last_id = loop_wall_ms() << 8; /* ids aren't reused after a restart */
 	query_task_set_ops(queries, &query_ops, task);
 	task->server =
 		http_server_new(loop, settings->listen_address, (uint16_t)settings->callers_port,
@@ -289,12 +289,12 @@
 	return NULL;
 }
 
-void caller_task_leave(caller_task_t *task)
+void caller_task_drain(caller_task_t *task)
 {
 	http_server_drain(task->server);
 }
 
-uint32_t caller_task_open(const caller_task_t *task)
+uint32_t caller_task_open_requests(const caller_task_t *task)
 {
 	return http_server_open_exchanges(task->server);
 }
--- a/src/tasks/platform_task.c
+++ b/src/tasks/platform_task.c
@@ -12,12 +12,15 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define CALL_SLOTS PLATFORM_FETCHES_MOST
+#define CALL_SLOTS PLATFORM_FETCHES_MAX
 #define CALL_TIMEOUT_US 1000000
 #define WATCH_MS 4000
-/* A watch whose connection went silent must not hide changes: past its own time it is given up. */
+/*
+ * A watch whose connection failed silently would hide changes: it is cancelled this long after its
+ * own time-out.
+ */
 #define WATCH_GRACE_US 1500000
-#define PENDING_MOST 1024
+#define PENDING_CALLS_MAX 1024
 
 typedef struct platform_call_t {
 	platform_task_t *task;
@@ -72,7 +75,7 @@
 	g_free(call);
 }
 
-static platform_end_t end_of_status(int status)
+static platform_end_t end_from_status(int status)
 {
 	switch (status) {
 	case 200:
@@ -88,7 +91,7 @@
 	}
 }
 
-/* Objects of other writers may hold bytes that are no JSON; the rest of the reply holds. */
+/* Objects of other writers may contain invalid JSON; the rest of the reply is still used. */
 static json_t *read_body(const platform_call_t *call, const GString *text)
 {
 	uint32_t damaged = 0;
@@ -107,16 +110,16 @@
 	task->restored_ctx = ctx;
 }
 
-store_era_change_t platform_task_take_era(platform_task_t *task, uint64_t number)
+store_era_change_t platform_task_observe_era(platform_task_t *task, uint64_t number)
 {
-	store_era_change_t news = store_era_observe(&task->era, number);
+	store_era_change_t change = store_era_observe(&task->era, number);
 
-	if (news != STORE_ERA_NEWER)
-		return news;
+	if (change != STORE_ERA_NEWER)
+		return change;
 	g_message("event=store-restored era=%" G_GUINT64_FORMAT " outcome=read-anew", number);
 	if (task->restored)
 		task->restored(task->restored_ctx);
-	return news;
+	return change;
 }
 
 uint64_t platform_task_era(const platform_task_t *task)
@@ -125,8 +128,9 @@
 }
 
 /*
- * Whether the reply is of the store as it is now. One that it gave before it came back from a copy
- * may have been on its way: what it tells is gone, and so may be what it says was written.
+ * Whether the reply belongs to the current store era. A reply that the store sent before it was
+ * restored from an older copy may arrive afterwards: the objects in it are lost, and a write that
+ * it confirms may be lost, too.
  */
 static bool is_current(platform_task_t *task, const http_call_t *http)
 {
@@ -140,7 +144,7 @@
 		g_warning("event=store-era-ignored reason=\"%s\"", err.text);
 		return true;
 	}
-	if (platform_task_take_era(task, era) != STORE_ERA_OLDER)
+	if (platform_task_observe_era(task, era) != STORE_ERA_OLDER)
 		return true;
 	task->counters.outdated++;
 	return false;
@@ -167,7 +171,7 @@
 	return names[reach];
 }
 
-static void give_result(platform_call_t *call, const http_call_t *http)
+static void deliver_result(platform_call_t *call, const http_call_t *http)
 {
 	platform_result_t result = {.end = PLATFORM_UNKNOWN, .reach = reach_of(http)};
 	json_t *body = NULL;
@@ -179,7 +183,7 @@
 		result.status = http_call_status(http);
 		result.body = body;
 		if (json_is_object(body))
-			result.end = end_of_status(http_call_status(http));
+			result.end = end_from_status(http_call_status(http));
 		result.version = (uint64_t)json_integer_value(json_object_get(body, "version"));
 		result.value = json_object_get(body, "value");
 	}
@@ -199,7 +203,7 @@
 	loop_timer_cancel(&call->timer);
 	if (!call->watch)
 		task->slots[call->slot] = NULL;
-	give_result(call, http);
+	deliver_result(call, http);
 	call_free(call);
 	start_pending(task);
 }
@@ -251,7 +255,7 @@
 		start(call);
 		return;
 	}
-	if (task->pending.length >= PENDING_MOST) {
+	if (task->pending.length >= PENDING_CALLS_MAX) {
 		const platform_result_t result = {.end = PLATFORM_UNKNOWN,
 						  .reach = PLATFORM_NOT_SENT};
 
@@ -292,7 +296,7 @@
 				      .timeout_us = timeout_us});
 }
 
-void platform_task_abandon(platform_task_t *task, const void *ctx)
+void platform_task_cancel(platform_task_t *task, const void *ctx)
 {
 	for (int slot = 0; slot < CALL_SLOTS; slot++)
 		if (task->slots[slot] && task->slots[slot]->ctx == ctx)
--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -6,8 +6,8 @@
 
 #include "core/evacuation.h"
 
-/* Names of unreadable entries that are remembered, so that each is logged once. */
-#define UNREADABLE_MOST 256
+/* Names of invalid entries that are remembered, so that each is logged once. */
+#define UNREADABLE_MAX 256
 
 struct store_reader_t {
 	loop_t *loop;
@@ -18,13 +18,13 @@
 	poison_task_t *poison;
 	evacuations_t *evacuations;
 	GHashTable *regions;	/* data centre to region */
-	GHashTable *unreadable; /* names of entries that were said to be so */
+	GHashTable *unreadable; /* names of invalid entries that were logged */
 	loop_timer_t registry_timer;
 	loop_timer_t evacuations_timer;
 	store_reader_counters_t counters;
 };
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
 static void run_registry(void *ctx)
 {
@@ -48,19 +48,19 @@
 
 /* ---- searchers ---- */
 
-/* One line a name, until it is read again: each list repeats what is wrong. */
-static void say_unreadable(store_reader_t *reader, const char *name, const char *reason)
+/* Logs each name once until its entry can be parsed again, as each list repeats invalid entries. */
+static void log_unreadable(store_reader_t *reader, const char *name, const char *reason)
 {
 	g_autofree char *escaped = g_strescape(name, NULL);
 
 	reader->counters.entries_ignored++;
-	if (g_hash_table_size(reader->unreadable) >= UNREADABLE_MOST ||
+	if (g_hash_table_size(reader->unreadable) >= UNREADABLE_MAX ||
 	    !g_hash_table_add(reader->unreadable, g_strdup(name)))
 		return;
 	g_warning("event=searcher-ignored searcher=\"%s\" reason=\"%s\"", escaped, reason);
 }
 
-static void take_searcher(store_reader_t *reader, const store_object_t *object)
+static void apply_searcher(store_reader_t *reader, const store_object_t *object)
 {
 	searcher_entry_t entry;
 	err_t err = {0};
@@ -73,7 +73,7 @@
 		return;
 	}
 	if (!store_read_searcher(object, &entry, &err)) {
-		say_unreadable(reader, object->name, err.text);
+		log_unreadable(reader, object->name, err.text);
 		registry_put_unreadable(reader->registry, object->name);
 		return;
 	}
@@ -93,8 +93,8 @@
 	registry_set_evacuated(reader->registry, data_centre, evacuated, loop_now_us());
 }
 
-/* One that names no data centre is a slip of its operator's: its searchers go on being used. */
-static void take_evacuation(store_reader_t *reader, const store_object_t *object)
+/* An evacuation that names no data centre is an operator's mistake; all searchers stay in use. */
+static void apply_evacuation_object(store_reader_t *reader, const store_object_t *object)
 {
 	if (object->removed) {
 		evacuations_remove(reader->evacuations, object->name);
@@ -112,21 +112,22 @@
 
 /* ---- the configuration ---- */
 
-/* The route is served by nobody: more likely a slip of the operator's than meant. */
-static void say_strange_regions(store_reader_t *reader, const routing_t *routing)
+/* No searcher serves a route bound to an unknown region: more likely an operator's mistake than
+ * intended. */
+static void log_unknown_regions(store_reader_t *reader, const routing_t *routing)
 {
 	const route_t *route = NULL;
 	const char *region = NULL;
 
-	reader->counters.regions_strange =
+	reader->counters.regions_unknown =
 		routing_unknown_regions(routing, reader->regions, &route, &region);
-	if (reader->counters.regions_strange)
+	if (reader->counters.regions_unknown)
 		g_warning("event=region-unknown route=%s region=%s in_all=%u outcome=kept",
-			  route->name, region, reader->counters.regions_strange);
+			  route->name, region, reader->counters.regions_unknown);
 }
 
-/* A version once in force is never followed by an older one. */
-static void take_configuration(store_reader_t *reader, const store_object_t *object)
+/* A configuration never replaces a newer version. */
+static void apply_configuration(store_reader_t *reader, const store_object_t *object)
 {
 	const routing_t *current = forwarder_routing(reader->forwarder);
 	routing_t *routing;
@@ -147,7 +148,7 @@
 		routing_unref(routing);
 		return;
 	}
-	say_strange_regions(reader, routing);
+	log_unknown_regions(reader, routing);
 	g_message("event=configuration version=%" G_GUINT64_FORMAT " routes=%u outcome=in-force",
 		  routing->version, routing->routes->len);
 	forwarder_set_routing(reader->forwarder, routing);
@@ -186,14 +187,14 @@
 		evacuations_list_begin(reader->evacuations);
 }
 
-void store_reader_take(store_reader_t *reader, store_kind_t kind, const store_object_t *object)
+void store_reader_apply(store_reader_t *reader, store_kind_t kind, const store_object_t *object)
 {
 	if (kind == STORE_SEARCHERS)
-		take_searcher(reader, object);
+		apply_searcher(reader, object);
 	else if (kind == STORE_CONFIGURATION)
-		take_configuration(reader, object);
+		apply_configuration(reader, object);
 	else if (kind == STORE_EVACUATIONS)
-		take_evacuation(reader, object);
+		apply_evacuation_object(reader, object);
 	else
 		poison_task_take(reader->poison, object, loop_now_us());
 }
@@ -212,19 +213,22 @@
 	}
 }
 
-void store_reader_lost(store_reader_t *reader)
+void store_reader_store_lost(store_reader_t *reader)
 {
 	registry_store_lost(reader->registry);
 }
 
-void store_reader_back(store_reader_t *reader)
+void store_reader_store_recovered(store_reader_t *reader)
 {
 	registry_store_recovered(reader->registry, loop_now_us());
 	run_registry(reader);
 }
 
-/* VMs that watch the store tell it first; the others hear that it is told. */
-void store_reader_restored(store_reader_t *reader, bool watches)
+/*
+ * VMs that watch the store publish their suspect requests again first; the other VMs learn from the
+ * store's objects that these are published.
+ */
+void store_reader_store_restored(store_reader_t *reader, bool watches)
 {
 	uint64_t now_us = loop_now_us();
 
