--- a/src/core/hearing.c
+++ b/src/core/hearing.c
@@ -4,247 +4,251 @@
  */
 #include "core/hearing_private.h"
 
-/* A watch answers at once that nothing has changed. */
+/* With this wait, the store answers a watch at once, also when nothing has changed. */
 #define PROBE_WAIT_MS 1
-#define RETRY_FIRST_US (FEED_RETRY_FIRST_MS * 1000)
-#define ANSWER_US (FEED_ANSWER_MS * 1000)
+#define RETRY_MIN_US (FEED_RETRY_FIRST_MS * 1000)
+#define REPLY_MAX_US (FEED_ANSWER_MS * 1000)
 
-uint64_t hearing_random_us(hearing_t *hearing, uint64_t least_us, uint64_t most_us)
+uint64_t store_sync_random_us(store_sync_t *sync, uint64_t min_us, uint64_t max_us)
 {
-	return (uint64_t)g_rand_int_range(hearing->rand, (gint32)least_us, (gint32)most_us + 1);
+	return (uint64_t)g_rand_int_range(sync->rand, (gint32)min_us, (gint32)max_us + 1);
 }
 
-void hearing_set_timer(hearing_t *hearing, timer_entry_t *timer, uint64_t at_us)
+void store_sync_set_timer(store_sync_t *sync, timer_entry_t *timer, uint64_t at_us)
 {
-	timers_set(&hearing->timers, timer, at_us);
+	timers_set(&sync->timers, timer, at_us);
 }
 
-void hearing_cancel_timer(hearing_t *hearing, timer_entry_t *timer)
+void store_sync_cancel_timer(store_sync_t *sync, timer_entry_t *timer)
 {
-	timers_cancel(&hearing->timers, timer);
+	timers_cancel(&sync->timers, timer);
 }
 
-bool hearing_is_set(const timer_entry_t *timer)
+bool store_sync_is_set(const timer_entry_t *timer)
 {
 	return timer->place != 0;
 }
 
-void hearing_set_away(hearing_t *hearing, bool away)
+void store_sync_set_unreachable(store_sync_t *sync, bool unreachable)
 {
-	if (hearing->away == away)
+	if (sync->unreachable == unreachable)
 		return;
-	hearing->away = away;
-	if (away)
-		hearing->ops->lost(hearing->ctx);
+	sync->unreachable = unreachable;
+	if (unreachable)
+		sync->ops->unreachable(sync->ctx);
 	else
-		hearing->ops->back(hearing->ctx);
+		sync->ops->recovered(sync->ctx);
 }
 
 /* ---- the store ---- */
 
-/* While the store does not answer, a call that it swallows is waited for only as long as an answer
- * may take: a watch that was sent just before its return would hide it for all its time. */
-static void ask(void *ctx, uint64_t now_us)
+/* While the store does not answer, a call times out after the time that a reply may take, not after
+ * the wait of a watch: a watch that the store lost just before its recovery would hide the recovery
+ * for all of its wait. */
+static void start_call(void *ctx, uint64_t now_us)
 {
-	kind_t *kind = ctx;
-	hearing_t *hearing = kind->hearing;
-	const feed_timing_t *timing = &hearing->timing;
-	bool list = kind->follow.lists, brief = list || hearing->failing || kind->failures;
-	hearing_call_t call = {.list = list, .timeout_us = timing->probe_us};
+	sync_kind_t *kind = ctx;
+	store_sync_t *sync = kind->sync;
+	const feed_timing_t *timing = &sync->timing;
+	bool list = kind->follow.lists, brief = list || sync->failing || kind->failures;
+	store_sync_call_t call = {.list = list, .timeout_us = timing->probe_us};
 
 	if (!brief)
-		call.timeout_us = (kind->setting.wait_ms + FEED_WATCH_SLACK_MS) * 1000ull;
-	call.wait_ms = brief ? PROBE_WAIT_MS : kind->setting.wait_ms;
-	kind->out = true;
-	kind->out_long = !brief;
-	if (hearing->probing && !hearing_is_set(&hearing->backup_timer))
-		hearing_set_timer(hearing, &hearing->backup_timer, now_us + ANSWER_US);
-	hearing->ops->ask(hearing->ctx, kind->number, &call);
+		call.timeout_us = (kind->config.wait_ms + FEED_WATCH_SLACK_MS) * 1000ull;
+	call.wait_ms = brief ? PROBE_WAIT_MS : kind->config.wait_ms;
+	kind->pending = true;
+	kind->pending_watch = !brief;
+	if (sync->probing && !store_sync_is_set(&sync->backup_timer))
+		store_sync_set_timer(sync, &sync->backup_timer, now_us + REPLY_MAX_US);
+	sync->ops->call(sync->ctx, kind->number, &call);
 }
 
-static void drop_call(kind_t *kind)
+static void drop_call(sync_kind_t *kind)
 {
-	hearing_cancel_timer(kind->hearing, &kind->next);
-	if (kind->out)
-		kind->hearing->ops->cancel(kind->hearing->ctx, kind->number);
-	kind->out = false;
+	store_sync_cancel_timer(kind->sync, &kind->next);
+	if (kind->pending)
+		kind->sync->ops->cancel(kind->sync->ctx, kind->number);
+	kind->pending = false;
 }
 
-static void ask_after(kind_t *kind, uint64_t delay_us, uint64_t now_us)
+static void call_after(sync_kind_t *kind, uint64_t delay_us, uint64_t now_us)
 {
 	drop_call(kind);
-	hearing_set_timer(kind->hearing, &kind->next, now_us + delay_us);
+	store_sync_set_timer(kind->sync, &kind->next, now_us + delay_us);
 }
 
-static void list_after(kind_t *kind, uint64_t delay_us, uint64_t now_us)
+static void list_after(sync_kind_t *kind, uint64_t delay_us, uint64_t now_us)
 {
-	kind->hearing->ops->list_anew(kind->hearing->ctx, kind->number);
-	ask_after(kind, delay_us, now_us);
+	kind->sync->ops->restart_list(kind->sync->ctx, kind->number);
+	call_after(kind, delay_us, now_us);
 }
 
-static void stop_probing(hearing_t *hearing)
+static void stop_probing(store_sync_t *sync)
 {
-	hearing->failing = hearing->silent = hearing->probing = false;
-	hearing_stop_seeking_backup(hearing);
+	sync->failing = sync->timed_out = sync->probing = false;
+	store_sync_stop_trying_backups(sync);
 }
 
-/* What the store swallowed while it was silent is asked for once more, and all that was put off. A
- * watch that waits for long may have lost its connection while no other call was out to show it. */
-static void resume_others(hearing_t *hearing, const kind_t *heard, uint64_t now_us)
+/* Repeats the calls that may have got lost while the store did not reply, and starts the postponed
+ * ones. A watch with a long wait may have lost its connection while no other call was pending that
+ * would have shown it. */
+static void resume_calls(store_sync_t *sync, const sync_kind_t *answered, uint64_t now_us)
 {
-	for (uint32_t i = 0; i < hearing->count; i++) {
-		kind_t *kind = &hearing->kinds[i];
-		bool doubtful = kind->out && (hearing->silent || !kind->setting.often);
+	for (uint32_t i = 0; i < sync->count; i++) {
+		sync_kind_t *kind = &sync->kinds[i];
+		bool may_be_lost = kind->pending && (sync->timed_out || !kind->config.frequent);
 
-		if (kind->parked || (doubtful && kind != heard))
-			ask_after(kind, 0, now_us);
-		kind->parked = false;
+		if (kind->postponed || (may_be_lost && kind != answered))
+			call_after(kind, 0, now_us);
+		kind->postponed = false;
 		kind->failures = 0;
 	}
 }
 
-static void note_heard(hearing_t *hearing, const kind_t *kind, uint64_t now_us)
+static void on_store_answered(store_sync_t *sync, const sync_kind_t *kind, uint64_t now_us)
 {
-	if (hearing->failing) {
-		resume_others(hearing, kind, now_us);
-		stop_probing(hearing);
-		hearing_close_backup_trial(hearing, "store-back");
+	if (sync->failing) {
+		resume_calls(sync, kind, now_us);
+		stop_probing(sync);
+		store_sync_close_backup_candidate(sync, "store-back");
 	}
-	hearing_set_away(hearing, false);
+	store_sync_set_unreachable(sync, false);
 }
 
-static uint64_t retry_us(hearing_t *hearing, uint32_t failures)
+static uint64_t retry_us(store_sync_t *sync, uint32_t failures)
 {
-	uint64_t most_us = RETRY_FIRST_US << MIN(failures - 1, 8);
+	uint64_t max_us = RETRY_MIN_US << MIN(failures - 1, 8);
 
-	most_us = MIN(most_us, hearing->timing.retry_most_us);
-	return hearing_random_us(hearing, most_us / 2, most_us);
+	max_us = MIN(max_us, sync->timing.retry_most_us);
+	return store_sync_random_us(sync, max_us / 2, max_us);
 }
 
-/* The probed kind is asked for next, soon and briefly; the others wait for that. */
-static void probe_soon(hearing_t *hearing, uint64_t now_us)
+/* Requests the probed kind next, soon and with a short time-out; the other kinds wait for it. */
+static void probe_soon(store_sync_t *sync, uint64_t now_us)
 {
-	kind_t *probed = hearing->probed;
-	bool under_way = hearing->probing || (probed->out && !probed->out_long);
+	sync_kind_t *probe_kind = sync->probe_kind;
+	bool under_way = sync->probing || (probe_kind->pending && !probe_kind->pending_watch);
 
-	hearing->probing = true;
+	sync->probing = true;
 	if (!under_way)
-		ask_after(probed, retry_us(hearing, 1), now_us);
+		call_after(probe_kind, retry_us(sync, 1), now_us);
 }
 
-static void note_failed(hearing_t *hearing, kind_t *kind, bool silent, uint64_t now_us)
+static void on_call_failed(store_sync_t *sync, sync_kind_t *kind, bool timed_out, uint64_t now_us)
 {
-	hearing->failing = true;
-	hearing->silent |= silent;
-	if (kind == hearing->probed) {
-		hearing->probing = true;
-		hearing_set_timer(hearing, &kind->next, now_us + retry_us(hearing, kind->failures));
+	sync->failing = true;
+	sync->timed_out |= timed_out;
+	if (kind == sync->probe_kind) {
+		sync->probing = true;
+		store_sync_set_timer(sync, &kind->next, now_us + retry_us(sync, kind->failures));
 	} else {
-		kind->parked = true;
-		probe_soon(hearing, now_us);
+		kind->postponed = true;
+		probe_soon(sync, now_us);
 	}
-	if (kind->setting.often)
-		hearing_set_away(hearing, true);
+	if (kind->config.frequent)
+		store_sync_set_unreachable(sync, true);
 }
 
-/* What was announced. */
-static void read_again(hearing_t *hearing, kind_t *kind, uint64_t now_us)
+/* Retries the read of announced objects that failed. */
+static void retry_announced(store_sync_t *sync, sync_kind_t *kind, uint64_t now_us)
 {
-	hearing_set_timer(hearing, &kind->next, now_us + retry_us(hearing, kind->failures));
-	if (hearing->feed)
-		hearing->ops->ask_link(hearing->ctx, hearing->feed, kind->number);
+	store_sync_set_timer(sync, &kind->next, now_us + retry_us(sync, kind->failures));
+	if (sync->feed)
+		sync->ops->request_announced(sync->ctx, sync->feed, kind->number);
 }
 
-void hearing_replied(hearing_t *hearing, uint32_t number, hearing_end_t end, uint64_t now_us)
+void store_sync_call_ended(store_sync_t *sync, uint32_t number, store_sync_result_t result,
+			   uint64_t now_us)
 {
-	kind_t *kind = &hearing->kinds[number];
+	sync_kind_t *kind = &sync->kinds[number];
 
-	kind->out = false;
-	if (end >= HEARING_REFUSED) {
+	kind->pending = false;
+	if (result >= STORE_SYNC_FAILED) {
 		kind->failures++;
-		if (hearing->follows)
-			note_failed(hearing, kind, end == HEARING_SILENT, now_us);
+		if (sync->watches)
+			on_call_failed(sync, kind, result == STORE_SYNC_TIMED_OUT, now_us);
 		else
-			read_again(hearing, kind, now_us);
+			retry_announced(sync, kind, now_us);
 		return;
 	}
 	kind->failures = 0;
-	kind->heard_us = now_us;
-	if (end == HEARING_LISTED) {
+	kind->last_answer_us = now_us;
+	if (result == STORE_SYNC_LISTED) {
 		follow_listed(&kind->follow);
-		kind->known = hearing->follows;
+		kind->list_read = sync->watches;
 	}
-	if (end == HEARING_GONE) {
+	if (result == STORE_SYNC_HISTORY_GONE) {
 		follow_again(&kind->follow);
-		hearing->ops->list_anew(hearing->ctx, number);
+		sync->ops->restart_list(sync->ctx, number);
 	}
-	if (hearing->follows)
-		note_heard(hearing, kind, now_us);
+	if (sync->watches)
+		on_store_answered(sync, kind, now_us);
 	if (follow_next(&kind->follow) != FOLLOW_NOTHING)
-		hearing_set_timer(hearing, &kind->next,
-				  now_us + (end == HEARING_CHANGED ? kind->setting.group_us : 0));
+		store_sync_set_timer(
+			sync, &kind->next,
+			now_us + (result == STORE_SYNC_CHANGED ? kind->config.group_us : 0));
 }
 
-void hearing_follow_store(hearing_t *hearing, uint64_t now_us)
+void store_sync_watch_store(store_sync_t *sync, uint64_t now_us)
 {
-	hearing_cancel_timer(hearing, &hearing->start_timer);
-	if (hearing->follows)
+	store_sync_cancel_timer(sync, &sync->start_timer);
+	if (sync->watches)
 		return;
-	hearing->follows = true;
-	hearing->failing = hearing->probing = hearing->away;
-	for (uint32_t i = 0; i < hearing->count; i++) {
-		kind_t *kind = &hearing->kinds[i];
+	sync->watches = true;
+	sync->failing = sync->probing = sync->unreachable;
+	for (uint32_t i = 0; i < sync->count; i++) {
+		sync_kind_t *kind = &sync->kinds[i];
 
 		follow_start(&kind->follow);
 		kind->failures = 0;
-		kind->parked = hearing->away && kind != hearing->probed;
-		if (kind->parked)
+		kind->postponed = sync->unreachable && kind != sync->probe_kind;
+		if (kind->postponed)
 			drop_call(kind);
 		else
-			list_after(kind, hearing->away ? retry_us(hearing, 1) : 0, now_us);
+			list_after(kind, sync->unreachable ? retry_us(sync, 1) : 0, now_us);
 	}
 }
 
-/* What was announced is still read. */
-void hearing_stop_following(hearing_t *hearing)
+/* Announced objects are still read from the store. */
+void store_sync_stop_watching(store_sync_t *sync)
 {
-	hearing->follows = false;
-	stop_probing(hearing);
-	for (uint32_t i = 0; i < hearing->count; i++) {
-		kind_t *kind = &hearing->kinds[i];
+	sync->watches = false;
+	stop_probing(sync);
+	for (uint32_t i = 0; i < sync->count; i++) {
+		sync_kind_t *kind = &sync->kinds[i];
 
 		follow_stop(&kind->follow);
-		kind->known = false;
-		kind->parked = false;
+		kind->list_read = false;
+		kind->postponed = false;
 		kind->failures = 0;
 		if (follow_next(&kind->follow) == FOLLOW_NOTHING)
 			drop_call(kind);
 	}
 }
 
-void hearing_announced(hearing_t *hearing, uint32_t number, uint64_t now_us)
+void store_sync_announced(store_sync_t *sync, uint32_t number, uint64_t now_us)
 {
-	kind_t *kind = &hearing->kinds[number];
+	sync_kind_t *kind = &sync->kinds[number];
 
-	/* Not at once: many VMs are told in the same moment. */
+	/* With a random delay: many VMs receive the announcement at the same moment. */
 	follow_announced(&kind->follow);
-	list_after(kind, hearing_random_us(hearing, 0, RETRY_FIRST_US), now_us);
+	list_after(kind, store_sync_random_us(sync, 0, RETRY_MIN_US), now_us);
 }
 
-void hearing_told(hearing_t *hearing, uint32_t number)
+void store_sync_announced_received(store_sync_t *sync, uint32_t number)
 {
-	kind_t *kind = &hearing->kinds[number];
+	sync_kind_t *kind = &sync->kinds[number];
 
-	if (hearing->follows || !kind->follow.owed)
+	if (sync->watches || !kind->follow.owed)
 		return;
 	follow_listed(&kind->follow);
 	kind->failures = 0;
 	drop_call(kind);
 }
 
-void hearing_catch_up(hearing_t *hearing, uint32_t number, uint64_t now_us)
+void store_sync_catch_up(store_sync_t *sync, uint32_t number, uint64_t now_us)
 {
-	kind_t *kind = &hearing->kinds[number];
+	sync_kind_t *kind = &sync->kinds[number];
 
 	if (kind->follow.owed)
 		return;
@@ -253,144 +257,149 @@
 }
 
 /*
- * The reply to a watch from a revision that was given out before is no 410 once the store has given
- * it out again: it tells what came after, and nothing of what came in place of the changes that are
- * known. Not all at once: many VMs learn of it from the same reply's moment.
+ * After a restore the store assigns revisions a second time. A watch from such a revision does not
+ * get a 410: its reply has the changes after that revision, but not those that replaced the changes
+ * known here. So the lists are read again, with a random delay, since many VMs notice the restore
+ * at the same moment.
  */
-void hearing_restored(hearing_t *hearing, uint64_t now_us)
+void store_sync_restored(store_sync_t *sync, uint64_t now_us)
 {
-	for (uint32_t i = 0; i < hearing->count; i++) {
-		kind_t *kind = &hearing->kinds[i];
+	for (uint32_t i = 0; i < sync->count; i++) {
+		sync_kind_t *kind = &sync->kinds[i];
 
 		if (follow_next(&kind->follow) == FOLLOW_NOTHING)
 			continue;
 		follow_again(&kind->follow);
-		if (kind->parked)
-			hearing->ops->list_anew(hearing->ctx, i);
+		if (kind->postponed)
+			sync->ops->restart_list(sync->ctx, i);
 		else
-			list_after(kind, hearing_random_us(hearing, 0, RETRY_FIRST_US), now_us);
+			list_after(kind, store_sync_random_us(sync, 0, RETRY_MIN_US), now_us);
 	}
 }
 
 /* ---- interface ---- */
 
-void hearing_set_wait(hearing_t *hearing, uint32_t kind, uint32_t wait_ms)
+void store_sync_set_wait(store_sync_t *sync, uint32_t kind, uint32_t wait_ms)
 {
-	hearing->kinds[kind].setting.wait_ms = wait_ms;
+	sync->kinds[kind].config.wait_ms = wait_ms;
 }
 
-/* Before anything is followed or fed, this is all that is known of the store. A VM that starts
- * while the store is away tries it seldom, and must not wait for the next try once it is back. */
-void hearing_answered(hearing_t *hearing, bool answered, uint64_t now_us)
+/* Until this VM watches the store or has a feed, only such calls show whether the store answers. A
+ * VM that starts while the store is unreachable probes it seldom; once another call is answered it
+ * must not wait for the next probe. */
+void store_sync_other_call_ended(store_sync_t *sync, bool answered, uint64_t now_us)
 {
-	if (hearing->follows && answered && hearing->probing && !hearing->probed->out)
-		ask_after(hearing->probed, 0, now_us);
-	else if (!hearing->follows && !hearing->feed)
-		hearing_set_away(hearing, !answered);
+	if (sync->watches && answered && sync->probing && !sync->probe_kind->pending)
+		call_after(sync->probe_kind, 0, now_us);
+	else if (!sync->watches && !sync->feed)
+		store_sync_set_unreachable(sync, !answered);
 }
 
-uint64_t hearing_next_us(const hearing_t *hearing)
+uint64_t store_sync_next_us(const store_sync_t *sync)
 {
-	return timers_next_us(&hearing->timers);
+	return timers_next_us(&sync->timers);
 }
 
-void hearing_run(hearing_t *hearing, uint64_t now_us)
+void store_sync_run(store_sync_t *sync, uint64_t now_us)
 {
-	timers_run(&hearing->timers, now_us);
+	timers_run(&sync->timers, now_us);
 }
 
-bool hearing_is_known(const hearing_t *hearing)
+bool store_sync_has_data(const store_sync_t *sync)
 {
-	for (uint32_t i = 0; i < hearing->count; i++)
-		if (!hearing->kinds[i].known)
-			return hearing->feed != NULL;
+	for (uint32_t i = 0; i < sync->count; i++)
+		if (!sync->kinds[i].list_read)
+			return sync->feed != NULL;
 	return true;
 }
 
 /*
- * A feeder whose news would be left for their age can't be relied on, and says so: then its
- * subscribers look for themselves, and stay. After an outage it hears one kind of objects again
- * before the other; saying that it heard the store, with the age of the other, made all subscribers
- * leave it in the moment of the store's return. One that is fed says by whom: what is told at third
- * hand could be told in a circle.
+ * A feeder whose data is older than subscribers accept reports itself as unreliable: its
+ * subscribers then check the store themselves and keep the feed. After an outage it gets replies
+ * for one kind before the other; if it reported that it reaches the store, with the age of the
+ * other kind, all subscribers would leave it at the moment of the store's recovery. A VM that is
+ * fed reports itself as unreliable too and names its feeder: if fed VMs fed others, data could be
+ * relayed in a circle.
  */
-hearing_news_t hearing_news(const hearing_t *hearing, uint64_t now_us)
+store_sync_status_t store_sync_status(const store_sync_t *sync, uint64_t now_us)
 {
-	uint64_t age_us = hearing_age_us(hearing, now_us);
-	bool old = age_us > feed_age_most_us(&hearing->timing, !hearing->feeds);
-	bool fed = hearing->feed && !hearing->away;
+	uint64_t age_us = store_sync_age_us(sync, now_us);
+	bool old = age_us > feed_age_most_us(&sync->timing, !sync->is_feeder);
+	bool fed = sync->feed && !sync->unreachable;
 
-	return (hearing_news_t){.away = hearing->feed || hearing->away || old ||
-					!hearing_is_known(hearing),
-				.age_us = age_us,
-				.from = fed ? hearing->feed->vm : ""};
+	return (store_sync_status_t){.unreliable = sync->feed || sync->unreachable || old ||
+						   !store_sync_has_data(sync),
+				     .age_us = age_us,
+				     .from = fed ? sync->feed->vm : ""};
 }
 
-bool hearing_follows(const hearing_t *hearing)
+bool store_sync_watches(const store_sync_t *sync)
 {
-	return hearing->follows;
+	return sync->watches;
 }
 
-bool hearing_is_away(const hearing_t *hearing)
+bool store_sync_is_unreachable(const store_sync_t *sync)
 {
-	return hearing->away;
+	return sync->unreachable;
 }
 
-const hearing_link_t *hearing_feed(const hearing_t *hearing)
+const store_sync_link_t *store_sync_feed(const store_sync_t *sync)
 {
-	return hearing->feed;
+	return sync->feed;
 }
 
-uint64_t hearing_kind_age_us(const hearing_t *hearing, uint32_t kind, uint64_t now_us)
+uint64_t store_sync_kind_age_us(const store_sync_t *sync, uint32_t kind, uint64_t now_us)
 {
-	return now_us - hearing->kinds[kind].heard_us;
+	return now_us - sync->kinds[kind].last_answer_us;
 }
 
-/* A feed that was just left still tells how old what is known is. */
-uint64_t hearing_age_us(const hearing_t *hearing, uint64_t now_us)
+/* The last status of a feed that was just left still counts for the age of the data. */
+uint64_t store_sync_age_us(const store_sync_t *sync, uint64_t now_us)
 {
 	uint64_t oldest_us = now_us;
 
-	if (hearing->feed)
-		return now_us - hearing->fed_heard_us;
-	for (uint32_t i = 0; i < hearing->count; i++)
-		if (hearing->kinds[i].setting.often)
-			oldest_us = MIN(oldest_us, hearing->kinds[i].heard_us);
-	return now_us - MAX(oldest_us, hearing->fed_heard_us);
-}
-
-hearing_t *hearing_new(const feed_timing_t *timing, const hearing_kind_t *kinds, uint32_t count,
-		       uint32_t probed, const hearing_ops_t *ops, void *ctx, uint32_t seed)
-{
-	hearing_t *hearing = g_new0(hearing_t, 1);
-
-	hearing->timing = *timing;
-	hearing->ops = ops;
-	hearing->ctx = ctx;
-	hearing->rand = g_rand_new_with_seed(seed);
-	timers_init(&hearing->timers);
-	hearing->kinds = g_new0(kind_t, count);
-	hearing->count = count;
-	hearing->probed = &hearing->kinds[probed];
-	hearing->feeders = g_ptr_array_new_with_free_func(g_free);
-	hearing->backups = g_ptr_array_new_with_free_func(g_free);
+	if (sync->feed)
+		return now_us - sync->feed_last_answer_us;
+	for (uint32_t i = 0; i < sync->count; i++)
+		if (sync->kinds[i].config.frequent)
+			oldest_us = MIN(oldest_us, sync->kinds[i].last_answer_us);
+	return now_us - MAX(oldest_us, sync->feed_last_answer_us);
+}
+
+store_sync_t *store_sync_new(const feed_timing_t *timing, const store_sync_kind_t *kinds,
+			     uint32_t count, uint32_t probe_kind, const store_sync_ops_t *ops,
+			     void *ctx, uint32_t seed)
+{
+	store_sync_t *sync = g_new0(store_sync_t, 1);
+
+	sync->timing = *timing;
+	sync->ops = ops;
+	sync->ctx = ctx;
+	sync->rand = g_rand_new_with_seed(seed);
+	timers_init(&sync->timers);
+	sync->kinds = g_new0(sync_kind_t, count);
+	sync->count = count;
+	sync->probe_kind = &sync->kinds[probe_kind];
+	sync->feeders = g_ptr_array_new_with_free_func(g_free);
+	sync->backups = g_ptr_array_new_with_free_func(g_free);
 	for (uint32_t i = 0; i < count; i++)
-		hearing->kinds[i] = (kind_t){.hearing = hearing,
-					     .number = i,
-					     .setting = kinds[i],
-					     .next = {.fire = ask, .ctx = &hearing->kinds[i]}};
-	hearing_links_init(hearing);
-	return hearing;
-}
-
-void hearing_free(hearing_t *hearing)
-{
-	hearing_close_links(hearing);
-	timers_clear(&hearing->timers);
-	g_ptr_array_unref(hearing->feeders);
-	g_ptr_array_unref(hearing->backups);
-	g_free(hearing->named);
-	g_free(hearing->kinds);
-	g_rand_free(hearing->rand);
-	g_free(hearing);
+		sync->kinds[i] =
+			(sync_kind_t){.sync = sync,
+				      .number = i,
+				      .config = kinds[i],
+				      .next = {.fire = start_call, .ctx = &sync->kinds[i]}};
+	store_sync_links_init(sync);
+	return sync;
+}
+
+void store_sync_free(store_sync_t *sync)
+{
+	store_sync_close_links(sync);
+	timers_clear(&sync->timers);
+	g_ptr_array_unref(sync->feeders);
+	g_ptr_array_unref(sync->backups);
+	g_free(sync->suggested_backup);
+	g_free(sync->kinds);
+	g_rand_free(sync->rand);
+	g_free(sync);
 }
--- a/src/core/hearing.h
+++ b/src/core/hearing.h
@@ -1,14 +1,16 @@
 /**
  * @file hearing.h
- * Whom a VM hears the platform's store from, and how old that may grow.
+ * Keeps a VM's copy of the platform's store in sync, and chooses the source that it comes from.
  *
- * There are three ways: this VM watches the store itself; a feeder that watches it tells of it
- * (feed_choice.h says who); or, when neither can be heard, a backup does: any other VM that watches
- * the store, named perhaps by one that it feeds. No way may keep another shut: what is known is
- * bound to the bounds of feed_timing.h, whichever way the store is away, and for whom.
+ * There are three sources: this VM watches the store itself; a feeder, which watches the store,
+ * relays its changes (feed_choice.h chooses the feeders); or, when neither the store nor a feeder
+ * answers, a backup feeder does: any other VM that watches the store. A VM that was asked as a
+ * backup but is fed itself names its feeder. Using or trying one source must not prevent a switch
+ * to another: the age of the data keeps the limits of feed_timing.h, however the store fails and
+ * for whichever VMs.
  *
- * Time and randomness come in; calls to the store and links to other VMs go out by callbacks. None
- * of these may call back before it returns.
+ * The caller passes in the time and a seed; calls to the store and links to other VMs are made by
+ * callbacks. A callback must not call into this module before it returns.
  */
 #ifndef DS_HEARING_H
 #define DS_HEARING_H
@@ -16,131 +18,136 @@
 #include "core/feed_timing.h"
 #include "core/vm.h"
 
-typedef struct hearing_t hearing_t;
+typedef struct store_sync_t store_sync_t;
 
-/** A kind of objects; they are numbered from 0. */
-typedef struct hearing_kind_t {
-	uint32_t wait_ms;  /**< that a watch waits for a change */
-	uint64_t group_us; /**< from an answer with changes to the next watch */
-	bool often;	   /**< watched so often that it tells how old what is known is */
-} hearing_kind_t;
+/** A kind of objects; kinds are numbered from 0. */
+typedef struct store_sync_kind_t {
+	uint32_t wait_ms;  /**< how long a watch waits for a change */
+	uint64_t group_us; /**< delay from a reply with changes to the next watch */
+	bool frequent;	   /**< its watches end often enough to determine the age of the data */
+} store_sync_kind_t;
 
-/** A connection to another VM that tells of the store. */
-typedef struct hearing_link_t {
+/** A connection to a feeder. */
+typedef struct store_sync_link_t {
 	char *vm;
-	bool backup;	   /**< it was not chosen to feed this VM */
-	bool sure;	   /**< by its last word it hears the store */
-	uint32_t listed;   /**< kinds whose whole list it has told, a bit each */
-	uint64_t heard_us; /**< when it last heard the store, by its last word */
-	void *data;	   /**< of whoever connects */
-} hearing_link_t;
+	bool backup;		 /**< a backup: not one of this VM's chosen feeders */
+	bool status_ok;		 /**< its last status was acceptable */
+	uint32_t lists_done;	 /**< kinds whose whole list it has sent, one bit each */
+	uint64_t last_answer_us; /**< when the store last answered, by its last status */
+	void *data;		 /**< belongs to the open and close callbacks */
+} store_sync_link_t;
 
-/** What this VM tells of how it hears the store. */
-typedef struct hearing_news_t {
-	bool away;	  /**< it can't be relied on for that */
-	uint64_t age_us;  /**< since the store was last heard, by whoever watches it */
-	const char *from; /**< the VM that it hears it from, or "" */
-} hearing_news_t;
+/** The feed status that this VM sends to its subscribers. */
+typedef struct store_sync_status_t {
+	bool unreliable;  /**< this VM can't be relied on as a feeder */
+	uint64_t age_us;  /**< since the store last answered the VM that watches it */
+	const char *from; /**< the VM that feeds this VM, or "" */
+} store_sync_status_t;
 
-/** What is asked of the store. */
-typedef struct hearing_call_t {
-	bool list;	  /**< the next page of the list; else a watch */
-	uint32_t wait_ms; /**< that a watch waits */
+/** A call to the store. */
+typedef struct store_sync_call_t {
+	bool list;	  /**< reads the next page of the list; else it is a watch */
+	uint32_t wait_ms; /**< how long a watch waits for a change */
 	uint64_t timeout_us;
-} hearing_call_t;
+} store_sync_call_t;
 
-/** What became of a call. */
-typedef enum hearing_end_t {
-	HEARING_HEARD,	 /**< a page of the list that is not its last, or no change */
-	HEARING_CHANGED, /**< changes */
-	HEARING_LISTED,	 /**< the list's last page */
-	HEARING_GONE,	 /**< the history since the list is gone */
-	HEARING_REFUSED, /**< an error in place of an answer, or the connection broke */
-	HEARING_SILENT,	 /**< nothing in the time given */
-} hearing_end_t;
+/** The result of a call to the store. */
+typedef enum store_sync_result_t {
+	STORE_SYNC_OK,	    /**< a page of the list before its last, or a watch without changes */
+	STORE_SYNC_CHANGED, /**< a watch with changes */
+	STORE_SYNC_LISTED,  /**< the last page of the list */
+	STORE_SYNC_HISTORY_GONE, /**< the store no longer has the history since the list */
+	STORE_SYNC_FAILED,	 /**< an error reply, or the connection broke */
+	STORE_SYNC_TIMED_OUT,	 /**< no reply within the time-out */
+} store_sync_result_t;
 
-typedef struct hearing_ops_t {
-	/** Ask the store; a call of this kind that is out counts no more. */
-	void (*ask)(void *ctx, uint32_t kind, const hearing_call_t *call);
-	/** A call of this kind that is out counts no more. */
+typedef struct store_sync_ops_t {
+	/** Start a call to the store; replaces the pending call of this kind, if any. */
+	void (*call)(void *ctx, uint32_t kind, const store_sync_call_t *call);
+	/** Drop the pending call of this kind; its reply is ignored. */
 	void (*cancel)(void *ctx, uint32_t kind);
-	/** The list of this kind is read from its start. */
-	void (*list_anew)(void *ctx, uint32_t kind);
-	/** Read the configuration once, beside all else. */
-	void (*look)(void *ctx, uint64_t timeout_us);
-	/** Connect to link->vm; false when that can't be tried. */
-	bool (*open)(void *ctx, hearing_link_t *link);
-	/** Close and free what link->data holds; the link is freed after that. */
-	void (*close)(void *ctx, hearing_link_t *link, const char *reason);
-	/** What was announced of this kind can't be read from the store: ask @p link for it. */
-	void (*ask_link)(void *ctx, hearing_link_t *link, uint32_t kind);
-	/** All is heard from @p link from here on. */
-	void (*taken)(void *ctx, const hearing_link_t *link);
-	/** The store can't be heard by any way, or is heard again. */
-	void (*lost)(void *ctx);
-	void (*back)(void *ctx);
-} hearing_ops_t;
+	/** Read the list of this kind from its first page on. */
+	void (*restart_list)(void *ctx, uint32_t kind);
+	/** Store check: read the configuration once, apart from the calls of the kinds. */
+	void (*check_store)(void *ctx, uint64_t timeout_us);
+	/** Connect to link->vm; false when no attempt is possible. */
+	bool (*open)(void *ctx, store_sync_link_t *link);
+	/** Close the connection and free link->data; the caller then frees the link. */
+	void (*close)(void *ctx, store_sync_link_t *link, const char *reason);
+	/** Announced objects of this kind can't be read from the store: request them from @p link.
+	 */
+	void (*request_announced)(void *ctx, store_sync_link_t *link, uint32_t kind);
+	/** @p link is the feed from now on. */
+	void (*feed_changed)(void *ctx, const store_sync_link_t *link);
+	/** No source reaches the store any more, or one does again. */
+	void (*unreachable)(void *ctx);
+	void (*recovered)(void *ctx);
+} store_sync_ops_t;
 
-/** @param probed the kind that is asked for while the store does not answer */
-hearing_t *hearing_new(const feed_timing_t *timing, const hearing_kind_t *kinds, uint32_t count,
-		       uint32_t probed, const hearing_ops_t *ops, void *ctx, uint32_t seed);
-void hearing_free(hearing_t *hearing);
+/** @param probe_kind the kind that is requested while the store does not answer */
+store_sync_t *store_sync_new(const feed_timing_t *timing, const store_sync_kind_t *kinds,
+			     uint32_t count, uint32_t probe_kind, const store_sync_ops_t *ops,
+			     void *ctx, uint32_t seed);
+void store_sync_free(store_sync_t *sync);
 
-/** Begin: others are about to be known, else the store is watched. */
-void hearing_start(hearing_t *hearing, uint64_t now_us);
-/** What is known may be old, as after this VM stood still. */
-void hearing_refresh(hearing_t *hearing, uint64_t now_us);
-/** The store came back from a copy: its revisions mean something else. */
-void hearing_restored(hearing_t *hearing, uint64_t now_us);
+/** Start: wait a short time for the list of VMs, then watch the store unless a feed is in use. */
+void store_sync_start(store_sync_t *sync, uint64_t now_us);
+/** The data may be old, for example because this VM was suspended: read it anew. */
+void store_sync_refresh(store_sync_t *sync, uint64_t now_us);
+/** The store was restored from a backup copy: its revisions no longer match those known here. */
+void store_sync_restored(store_sync_t *sync, uint64_t now_us);
 /**
- * The VMs are known anew.
- * @param feeders vm_t, whom this VM is to hear the store from, best first; none: it watches
- * @param backups vm_t, whom it may hear it from otherwise, best first
- * @param feeds whether others are to hear it from this VM
+ * Set the feeders and backups after a change of the list of VMs.
+ * @param feeders vm_t, the chosen feeders of this VM, best first; empty: it watches the store
+ * @param backups vm_t, the backup feeders, best first
+ * @param is_feeder whether other VMs are to subscribe to this VM
  */
-void hearing_set_vms(hearing_t *hearing, const GPtrArray *feeders, const GPtrArray *backups,
-		     bool feeds, uint64_t now_us);
-/** Watches of @p kind to come wait so long. */
-void hearing_set_wait(hearing_t *hearing, uint32_t kind, uint32_t wait_ms);
+void store_sync_set_vms(store_sync_t *sync, const GPtrArray *feeders, const GPtrArray *backups,
+			bool is_feeder, uint64_t now_us);
+/** Set how long future watches of @p kind wait for a change. */
+void store_sync_set_wait(store_sync_t *sync, uint32_t kind, uint32_t wait_ms);
 
-/** The call that is out for @p kind has ended. */
-void hearing_replied(hearing_t *hearing, uint32_t kind, hearing_end_t end, uint64_t now_us);
-/** A call beside those of the kinds has, or has not, been answered. */
-void hearing_answered(hearing_t *hearing, bool answered, uint64_t now_us);
-/** The look has ended. */
-void hearing_looked(hearing_t *hearing, bool reached, uint64_t now_us);
-/** A feeder says that something of @p kind has changed, without what: read it. */
-void hearing_announced(hearing_t *hearing, uint32_t kind, uint64_t now_us);
-/** All that was announced of @p kind has been told since, and need not be read. */
-void hearing_told(hearing_t *hearing, uint32_t kind);
-/** Another VM is ahead of this one: read @p kind at once, unless that is under way. */
-void hearing_catch_up(hearing_t *hearing, uint32_t kind, uint64_t now_us);
+/** The pending call of @p kind has ended. */
+void store_sync_call_ended(store_sync_t *sync, uint32_t kind, store_sync_result_t result,
+			   uint64_t now_us);
+/** Another call to the store, apart from those of the kinds, was or was not answered. */
+void store_sync_other_call_ended(store_sync_t *sync, bool answered, uint64_t now_us);
+/** The store check has ended. */
+void store_sync_check_ended(store_sync_t *sync, bool reached, uint64_t now_us);
+/** A feeder has announced a change of @p kind without its content: read the list. */
+void store_sync_announced(store_sync_t *sync, uint32_t kind, uint64_t now_us);
+/** The feeder has since sent all announced objects of @p kind: they need not be read. */
+void store_sync_announced_received(store_sync_t *sync, uint32_t kind);
+/** Another VM has newer data: read @p kind at once, unless a read is under way. */
+void store_sync_catch_up(store_sync_t *sync, uint32_t kind, uint64_t now_us);
 
-/** @p link has told its whole list of @p kind. */
-void hearing_link_listed(hearing_t *hearing, hearing_link_t *link, uint32_t kind, uint64_t now_us);
-/** @p link says how it hears the store. */
-void hearing_link_news(hearing_t *hearing, hearing_link_t *link, const hearing_news_t *news,
-		       uint64_t now_us);
-/** @p link broke; it is closed. */
-void hearing_link_ended(hearing_t *hearing, hearing_link_t *link, const char *reason,
-			uint64_t now_us);
+/** @p link has sent its whole list of @p kind. */
+void store_sync_link_listed(store_sync_t *sync, store_sync_link_t *link, uint32_t kind,
+			    uint64_t now_us);
+/** @p link has sent its feed status. */
+void store_sync_link_status(store_sync_t *sync, store_sync_link_t *link,
+			    const store_sync_status_t *status, uint64_t now_us);
+/** @p link broke: close it. */
+void store_sync_link_ended(store_sync_t *sync, store_sync_link_t *link, const char *reason,
+			   uint64_t now_us);
 
-/** When something is due, or TIMERS_NEVER. */
-uint64_t hearing_next_us(const hearing_t *hearing);
-void hearing_run(hearing_t *hearing, uint64_t now_us);
+/** When the next timer is due, or TIMERS_NEVER. */
+uint64_t store_sync_next_us(const store_sync_t *sync);
+void store_sync_run(store_sync_t *sync, uint64_t now_us);
 
-hearing_news_t hearing_news(const hearing_t *hearing, uint64_t now_us);
-/** Whether it has something to tell: all kinds were heard, at first hand or not. */
-bool hearing_is_known(const hearing_t *hearing);
+/** The status to send to subscribers. */
+store_sync_status_t store_sync_status(const store_sync_t *sync, uint64_t now_us);
+/** Whether this VM has data for subscribers: it is fed, or has read the list of every kind. */
+bool store_sync_has_data(const store_sync_t *sync);
 /** Whether this VM watches the store itself. */
-bool hearing_follows(const hearing_t *hearing);
-/** Whether the store can't be heard, by any way. */
-bool hearing_is_away(const hearing_t *hearing);
-/** The link by which all is heard, or NULL. */
-const hearing_link_t *hearing_feed(const hearing_t *hearing);
-/** Since the store was last heard, by whoever watches it. */
-uint64_t hearing_age_us(const hearing_t *hearing, uint64_t now_us);
-/** The same of one kind, by this VM itself. */
-uint64_t hearing_kind_age_us(const hearing_t *hearing, uint32_t kind, uint64_t now_us);
+bool store_sync_watches(const store_sync_t *sync);
+/** Whether no source reaches the store. */
+bool store_sync_is_unreachable(const store_sync_t *sync);
+/** The link in use as the feed, or NULL. */
+const store_sync_link_t *store_sync_feed(const store_sync_t *sync);
+/** Age of the data: time since the store last answered the VM that watches it. */
+uint64_t store_sync_age_us(const store_sync_t *sync, uint64_t now_us);
+/** Time since the store last answered this VM's own calls of @p kind. */
+uint64_t store_sync_kind_age_us(const store_sync_t *sync, uint32_t kind, uint64_t now_us);
 
 #endif
--- a/src/core/hearing_links.c
+++ b/src/core/hearing_links.c
@@ -1,400 +1,405 @@
 /**
  * @file hearing_links.c
- * Links to VMs that tell of the store: feeders, backups, and trials of both. See hearing.h.
+ * Links to feeders and backup feeders, in use or being tried. See hearing.h.
  */
 #include "core/hearing_private.h"
 
-/* After all feeders failed the store is watched for a while; random, so that VMs do not all move.
- */
-#define AGAIN_LEAST_US 3000000
-#define AGAIN_MOST_US 6000000
-/* A VM that starts first learns whom it may hear the store from: a read of the list of VMs, then a
- * connection within the region. Past this it watches the store itself all the same. */
-#define START_MOST_US 1200000
-/* Until then, VMs that start together with this one may not listen yet: asked again so soon. */
-#define START_AGAIN_US 100000
-/* To ask the other feeders whether they hear the store: each says so within its news' period. */
-#define SEEK_US 1000000
-/* Backups asked one after the other; then a pause, since all VMs ask when the store is away for
- * all.
- */
-#define BACKUPS_IN_A_ROW 3
+/* After all feeders failed, the store is watched for this time before the next feeder is tried;
+ * random, so that VMs do not all switch at once. */
+#define FEEDER_RETRY_MIN_US 3000000
+#define FEEDER_RETRY_MAX_US 6000000
+/* A VM that starts first finds its feeders: it reads the list of VMs, then connects to one within
+ * the region. If it has no feed after this time it watches the store itself. */
+#define START_TIMEOUT_US 1200000
+/* Until then, VMs that start together with this one may not listen yet: retry interval. */
+#define START_RETRY_US 100000
+/* Time to find a feeder that reaches the store: each sends its status within the status period. */
+#define FIND_FEEDER_US 1000000
+/* Backups tried one after the other before a pause: when no VM reaches the store, all VMs try
+ * backups. */
+#define BACKUPS_PER_ROUND 3
 #define BACKUP_PAUSE_US 1500000
 
-/* Timers fire so late at the most. */
-#define LATE_US 50000
+/* Maximum delay of a timer. */
+#define TIMER_DELAY_MAX_US 50000
 
-#define TRIAL_US (FEED_TRIAL_MS * 1000)
+#define CANDIDATE_TIMEOUT_US (FEED_TRIAL_MS * 1000)
 
 /* ---- links ---- */
 
-void hearing_stop_seeking_backup(hearing_t *hearing)
+void store_sync_stop_trying_backups(store_sync_t *sync)
 {
-	hearing->backups_row = 0;
-	hearing_cancel_timer(hearing, &hearing->backup_timer);
+	sync->backups_in_round = 0;
+	store_sync_cancel_timer(sync, &sync->backup_timer);
 }
 
-static void close_link(hearing_t *hearing, hearing_link_t **link, const char *reason)
+static void close_link(store_sync_t *sync, store_sync_link_t **link, const char *reason)
 {
 	if (!*link)
 		return;
-	hearing->ops->close(hearing->ctx, *link, reason);
+	sync->ops->close(sync->ctx, *link, reason);
 	g_free((*link)->vm);
 	g_free(*link);
 	*link = NULL;
 }
 
-static void close_trial(hearing_t *hearing, const char *reason)
+static void close_candidate(store_sync_t *sync, const char *reason)
 {
-	hearing_cancel_timer(hearing, &hearing->trial_timer);
-	close_link(hearing, &hearing->trial, reason);
+	store_sync_cancel_timer(sync, &sync->candidate_timer);
+	close_link(sync, &sync->candidate, reason);
 }
 
-void hearing_close_backup_trial(hearing_t *hearing, const char *reason)
+void store_sync_close_backup_candidate(store_sync_t *sync, const char *reason)
 {
-	if (hearing->trial && hearing->trial->backup)
-		close_trial(hearing, reason);
+	if (sync->candidate && sync->candidate->backup)
+		close_candidate(sync, reason);
 }
 
-static bool try_link(hearing_t *hearing, const char *vm, bool backup, uint64_t now_us)
+static bool try_link(store_sync_t *sync, const char *vm, bool backup, uint64_t now_us)
 {
-	hearing_link_t *link = g_new0(hearing_link_t, 1);
+	store_sync_link_t *link = g_new0(store_sync_link_t, 1);
 
 	link->vm = g_strdup(vm);
 	link->backup = backup;
-	hearing->trial = link;
-	if (!hearing->ops->open(hearing->ctx, link)) {
+	sync->candidate = link;
+	if (!sync->ops->open(sync->ctx, link)) {
 		g_free(link->vm);
 		g_free(link);
-		hearing->trial = NULL;
+		sync->candidate = NULL;
 		return false;
 	}
-	/* Feeders that start together with this VM have nothing to say yet. */
-	if (!hearing_is_set(&hearing->start_timer))
-		hearing_set_timer(hearing, &hearing->trial_timer, now_us + TRIAL_US);
+	/* Feeders that start together with this VM have no data to send yet. */
+	if (!store_sync_is_set(&sync->start_timer))
+		store_sync_set_timer(sync, &sync->candidate_timer, now_us + CANDIDATE_TIMEOUT_US);
 	return true;
 }
 
 /* ---- backups ---- */
 
-static bool needs_backup(const hearing_t *hearing)
+static bool needs_backup(const store_sync_t *sync)
 {
-	return hearing->feed ? hearing->doubts && hearing->looks
-			     : hearing->follows && hearing->failing;
+	return sync->feed ? sync->feeder_cut_off && sync->failed_checks
+			  : sync->watches && sync->failing;
 }
 
-static char *next_backup(hearing_t *hearing)
+static char *next_backup(store_sync_t *sync)
 {
-	char *named = g_steal_pointer(&hearing->named);
+	char *suggested = g_steal_pointer(&sync->suggested_backup);
 
-	if (named)
-		return named;
-	if (!hearing->backups->len)
+	if (suggested)
+		return suggested;
+	if (!sync->backups->len)
 		return NULL;
-	return g_strdup(g_ptr_array_index(hearing->backups,
-					  hearing->backups_tried++ % hearing->backups->len));
+	return g_strdup(
+		g_ptr_array_index(sync->backups, sync->backups_tried++ % sync->backups->len));
 }
 
-static void pause_backups(hearing_t *hearing, uint64_t now_us)
+static void pause_backups(store_sync_t *sync, uint64_t now_us)
 {
-	hearing->backups_row = 0;
-	hearing_set_timer(hearing, &hearing->backup_timer,
-			  now_us +
-				  hearing_random_us(hearing, BACKUP_PAUSE_US / 2, BACKUP_PAUSE_US));
+	sync->backups_in_round = 0;
+	store_sync_set_timer(
+		sync, &sync->backup_timer,
+		now_us + store_sync_random_us(sync, BACKUP_PAUSE_US / 2, BACKUP_PAUSE_US));
 }
 
-void hearing_seek_backup(hearing_t *hearing, uint64_t now_us)
+void store_sync_try_backup(store_sync_t *sync, uint64_t now_us)
 {
 	g_autofree char *vm = NULL;
 
-	if (hearing->trial || !needs_backup(hearing) || !hearing->backups->len)
+	if (sync->candidate || !needs_backup(sync) || !sync->backups->len)
 		return;
-	if (hearing->backups_row >= BACKUPS_IN_A_ROW) {
-		pause_backups(hearing, now_us);
+	if (sync->backups_in_round >= BACKUPS_PER_ROUND) {
+		pause_backups(sync, now_us);
 		return;
 	}
-	hearing->backups_row++;
-	hearing_cancel_timer(hearing, &hearing->backup_timer);
-	vm = next_backup(hearing);
-	if (!vm || !try_link(hearing, vm, true, now_us))
-		pause_backups(hearing, now_us);
+	sync->backups_in_round++;
+	store_sync_cancel_timer(sync, &sync->backup_timer);
+	vm = next_backup(sync);
+	if (!vm || !try_link(sync, vm, true, now_us))
+		pause_backups(sync, now_us);
 }
 
 static void on_backup_due(void *ctx, uint64_t now_us)
 {
-	hearing_seek_backup(ctx, now_us);
+	store_sync_try_backup(ctx, now_us);
 }
 
 /* ---- feeders ---- */
 
-/* What is known would be too old before another feeder had failed and the store had answered. */
-static bool is_pressing(const hearing_t *hearing, uint64_t now_us)
+/* The data would exceed its age limit before another feeder had failed and the store had replied.
+ */
+static bool is_near_age_max(const store_sync_t *sync, uint64_t now_us)
 {
-	return !hearing_is_set(&hearing->start_timer) &&
-	       hearing_age_us(hearing, now_us) > hearing->timing.age_most_us + LATE_US;
+	return !store_sync_is_set(&sync->start_timer) &&
+	       store_sync_age_us(sync, now_us) > sync->timing.age_most_us + TIMER_DELAY_MAX_US;
 }
 
-static bool try_feeder(hearing_t *hearing, uint64_t now_us)
+static bool try_feeder(store_sync_t *sync, uint64_t now_us)
 {
-	uint32_t count = hearing->feeders->len;
+	uint32_t count = sync->feeders->len;
 
-	if (hearing->trial || !count)
-		return hearing->trial != NULL;
-	return try_link(hearing, g_ptr_array_index(hearing->feeders, hearing->tries % count), false,
+	if (sync->candidate || !count)
+		return sync->candidate != NULL;
+	return try_link(sync, g_ptr_array_index(sync->feeders, sync->feeders_tried % count), false,
 			now_us);
 }
 
-static void seek_feeder(void *ctx, uint64_t now_us)
+static void on_feeder_retry_due(void *ctx, uint64_t now_us)
 {
-	hearing_t *hearing = ctx;
+	store_sync_t *sync = ctx;
 
-	if (!hearing->feed)
-		try_feeder(hearing, now_us);
+	if (!sync->feed)
+		try_feeder(sync, now_us);
 }
 
 /*
- * The next feeder, or the store for a while. All VMs of a region that turn to the store because one
- * of them is gone would cost more calls than the feed saved: the next feeder is asked first, unless
- * all have failed in this round, or a change may be due before one more would have failed.
+ * Tries the next feeder, or watches the store for a while. If all VMs of a region watched the store
+ * because one feeder is gone, that would cost more calls than the feed saves: so the next feeder is
+ * tried first, unless all have failed in this round, or a change may be due before one more feeder
+ * would have failed.
  */
-static void seek_other_way(hearing_t *hearing, bool pressing, uint64_t now_us)
+static void try_next_source(store_sync_t *sync, bool near_age_max, uint64_t now_us)
 {
-	uint32_t count = hearing->feeders->len;
-	bool all_failed = !count || ++hearing->tries % count == 0;
+	uint32_t count = sync->feeders->len;
+	bool all_failed = !count || ++sync->feeders_tried % count == 0;
 
-	if (!all_failed && !pressing && try_feeder(hearing, now_us))
+	if (!all_failed && !near_age_max && try_feeder(sync, now_us))
 		return;
-	if (hearing_is_set(&hearing->start_timer)) {
-		hearing_set_timer(hearing, &hearing->again_timer, now_us + START_AGAIN_US);
+	if (store_sync_is_set(&sync->start_timer)) {
+		store_sync_set_timer(sync, &sync->feeder_retry_timer, now_us + START_RETRY_US);
 		return;
 	}
-	hearing_follow_store(hearing, now_us);
+	store_sync_watch_store(sync, now_us);
 	if (count)
-		hearing_set_timer(
-			hearing, &hearing->again_timer,
-			now_us + hearing_random_us(hearing, AGAIN_LEAST_US, AGAIN_MOST_US));
+		store_sync_set_timer(sync, &sync->feeder_retry_timer,
+				     now_us + store_sync_random_us(sync, FEEDER_RETRY_MIN_US,
+								   FEEDER_RETRY_MAX_US));
 }
 
-static void stop_doubting(hearing_t *hearing)
+static void stop_store_checks(store_sync_t *sync)
 {
-	hearing->doubts = false;
-	hearing->looks = 0;
-	hearing_cancel_timer(hearing, &hearing->look_timer);
+	sync->feeder_cut_off = false;
+	sync->failed_checks = 0;
+	store_sync_cancel_timer(sync, &sync->check_timer);
 }
 
-static void drop_feed(hearing_t *hearing, const char *reason)
+static void close_feed(store_sync_t *sync, const char *reason)
 {
-	hearing_cancel_timer(hearing, &hearing->stale_timer);
-	stop_doubting(hearing);
-	close_link(hearing, &hearing->feed, reason);
+	store_sync_cancel_timer(sync, &sync->feed_stale_timer);
+	stop_store_checks(sync);
+	close_link(sync, &sync->feed, reason);
 }
 
-static void leave_feed(hearing_t *hearing, const char *reason, bool pressing, uint64_t now_us)
+static void leave_feed(store_sync_t *sync, const char *reason, bool near_age_max, uint64_t now_us)
 {
-	drop_feed(hearing, reason);
-	hearing_close_backup_trial(hearing, reason);
-	seek_other_way(hearing, pressing, now_us);
+	close_feed(sync, reason);
+	store_sync_close_backup_candidate(sync, reason);
+	try_next_source(sync, near_age_max, now_us);
 }
 
-/* The store turned this VM away when it was last looked at, or it would not have been fed so. */
-static void lose_feed(hearing_t *hearing, const char *reason, uint64_t now_us)
+/* A VM fed by a backup did not reach the store at its last try, else it would not use a backup: the
+ * store counts as unreachable again. */
+static void on_feed_failed(store_sync_t *sync, const char *reason, uint64_t now_us)
 {
-	bool pressing = is_pressing(hearing, now_us);
+	bool near_age_max = is_near_age_max(sync, now_us);
 
-	if (hearing->feed->backup)
-		hearing_set_away(hearing, true);
-	leave_feed(hearing, reason, pressing, now_us);
+	if (sync->feed->backup)
+		store_sync_set_unreachable(sync, true);
+	leave_feed(sync, reason, near_age_max, now_us);
 }
 
-static void look(void *ctx, uint64_t now_us)
+static void check_store(void *ctx, uint64_t now_us)
 {
-	hearing_t *hearing = ctx;
+	store_sync_t *sync = ctx;
 
 	(void)now_us;
-	if (hearing->looking)
+	if (sync->checking)
 		return;
-	hearing->looking = true;
-	hearing->ops->look(hearing->ctx, hearing->timing.probe_us);
+	sync->checking = true;
+	sync->ops->check_store(sync->ctx, sync->timing.probe_us);
 }
 
 /*
- * A feeder that is cut off from the store goes on telling that nothing has changed. Its news grow
- * old meanwhile; past what they are on a sound feeder this VM turns to the store itself, and a
- * change is in force in time: at once the configuration, whatever other feeders say.
+ * A feeder that is cut off from the store keeps reporting that nothing has changed, but its data
+ * grows older. Once it is older than a working feeder's can be, this VM goes to the store itself,
+ * so that changes are in force in time. The configuration is read at once, whatever other feeders
+ * report.
  */
-static void on_stale(void *ctx, uint64_t now_us)
+static void on_feed_stale(void *ctx, uint64_t now_us)
 {
-	look(ctx, now_us);
-	lose_feed(ctx, "news-old", now_us);
+	check_store(ctx, now_us);
+	on_feed_failed(ctx, "news-old", now_us);
 }
 
-static void look_later(hearing_t *hearing, uint64_t now_us)
+static void check_store_later(store_sync_t *sync, uint64_t now_us)
 {
-	hearing_set_timer(hearing, &hearing->look_timer,
-			  now_us + hearing_random_us(hearing, hearing->timing.look_least_us,
-						     hearing->timing.look_most_us));
+	store_sync_set_timer(sync, &sync->check_timer,
+			     now_us + store_sync_random_us(sync, sync->timing.look_least_us,
+							   sync->timing.look_most_us));
 }
 
-void hearing_looked(hearing_t *hearing, bool reached, uint64_t now_us)
+void store_sync_check_ended(store_sync_t *sync, bool reached, uint64_t now_us)
 {
-	hearing->looking = false;
-	if (!hearing->feed || (!hearing->doubts && !hearing->feed->backup))
+	sync->checking = false;
+	if (!sync->feed || (!sync->feeder_cut_off && !sync->feed->backup))
 		return;
 	if (reached) {
-		hearing_set_away(hearing, false);
-		leave_feed(hearing, "store-reached", false, now_us);
+		store_sync_set_unreachable(sync, false);
+		leave_feed(sync, "store-reached", false, now_us);
 		return;
 	}
-	hearing->looks++;
-	look_later(hearing, now_us);
-	if (!hearing_is_set(&hearing->backup_timer))
-		hearing_seek_backup(hearing, now_us);
+	sync->failed_checks++;
+	check_store_later(sync, now_us);
+	if (!store_sync_is_set(&sync->backup_timer))
+		store_sync_try_backup(sync, now_us);
 }
 
-/* The first look comes before the news are too old: the store may have turned away only the feeder,
- * which then notices after its watch was in vain, when a change may be due in a second. */
-static uint64_t first_look_us(hearing_t *hearing, uint64_t age_us)
+/* The first store check comes before the data reaches its age limit: the store may be unreachable
+ * only for the feeder, which notices that when its watch times out; a change may then be due within
+ * a second. */
+static uint64_t first_check_us(store_sync_t *sync, uint64_t age_us)
 {
-	uint64_t most_us = hearing->timing.age_most_us;
-	uint64_t used_us = age_us + SEEK_US;
-	uint64_t left_us = most_us > used_us ? most_us - used_us : 0;
+	uint64_t max_us = sync->timing.age_most_us;
+	uint64_t used_us = age_us + FIND_FEEDER_US;
+	uint64_t left_us = max_us > used_us ? max_us - used_us : 0;
 
-	return hearing_random_us(hearing, 0, MIN(left_us, hearing->timing.look_most_us));
+	return store_sync_random_us(sync, 0, MIN(left_us, sync->timing.look_most_us));
 }
 
-/* Of a feeder that is relied on. */
-static void doubt(hearing_t *hearing, uint64_t age_us, uint64_t now_us)
+/* The feeder in use does not reach the store. */
+static void on_feeder_cut_off(store_sync_t *sync, uint64_t age_us, uint64_t now_us)
 {
-	if (hearing->doubts)
+	if (sync->feeder_cut_off)
 		return;
-	hearing->doubts = true;
-	hearing_set_away(hearing, true);
-	hearing_set_timer(hearing, &hearing->look_timer, now_us + first_look_us(hearing, age_us));
+	sync->feeder_cut_off = true;
+	store_sync_set_unreachable(sync, true);
+	store_sync_set_timer(sync, &sync->check_timer, now_us + first_check_us(sync, age_us));
 }
 
-static void trust(hearing_t *hearing)
+static void on_feeder_recovered(store_sync_t *sync)
 {
-	if (!hearing->doubts)
+	if (!sync->feeder_cut_off)
 		return;
-	stop_doubting(hearing);
-	hearing_stop_seeking_backup(hearing);
-	hearing_close_backup_trial(hearing, "feeder-back");
-	hearing_set_away(hearing, false);
+	stop_store_checks(sync);
+	store_sync_stop_trying_backups(sync);
+	store_sync_close_backup_candidate(sync, "feeder-back");
+	store_sync_set_unreachable(sync, false);
 }
 
-/* ---- trials ---- */
+/* ---- candidates ---- */
 
-static bool is_whole(const hearing_t *hearing, const hearing_link_t *link)
+static bool has_all_lists(const store_sync_t *sync, const store_sync_link_t *link)
 {
-	return link->listed == (1u << hearing->count) - 1;
+	return link->lists_done == (1u << sync->count) - 1;
 }
 
-static void end_trial(hearing_t *hearing, const char *reason, uint64_t now_us)
+static void reject_candidate(store_sync_t *sync, const char *reason, uint64_t now_us)
 {
-	bool backup = hearing->trial->backup;
+	bool backup = sync->candidate->backup;
 
-	close_trial(hearing, reason);
+	close_candidate(sync, reason);
 	if (backup)
-		hearing_seek_backup(hearing, now_us);
-	else if (!hearing->feed)
-		seek_other_way(hearing, is_pressing(hearing, now_us), now_us);
+		store_sync_try_backup(sync, now_us);
+	else if (!sync->feed)
+		try_next_source(sync, is_near_age_max(sync, now_us), now_us);
 }
 
-static void on_trial_silent(void *ctx, uint64_t now_us)
+static void on_candidate_timeout(void *ctx, uint64_t now_us)
 {
-	end_trial(ctx, "says-nothing", now_us);
+	reject_candidate(ctx, "says-nothing", now_us);
 }
 
-static void note_news(hearing_t *hearing, hearing_link_t *link)
+static void record_status(store_sync_t *sync, store_sync_link_t *link)
 {
-	hearing->fed_heard_us = link->heard_us;
-	hearing_set_timer(hearing, &hearing->stale_timer,
-			  link->heard_us + feed_age_most_us(&hearing->timing, link->backup));
+	sync->feed_last_answer_us = link->last_answer_us;
+	store_sync_set_timer(sync, &sync->feed_stale_timer,
+			     link->last_answer_us + feed_age_most_us(&sync->timing, link->backup));
 }
 
-/* What is known at first hand is no longer kept up with. */
-static void take_trial(hearing_t *hearing, uint64_t now_us)
+/* From here on the feed replaces this VM's own watches. */
+static void switch_to_candidate(store_sync_t *sync, uint64_t now_us)
 {
-	hearing_link_t *link = g_steal_pointer(&hearing->trial);
+	store_sync_link_t *link = g_steal_pointer(&sync->candidate);
 
-	hearing_cancel_timer(hearing, &hearing->trial_timer);
-	hearing_cancel_timer(hearing, &hearing->start_timer);
-	hearing_cancel_timer(hearing, &hearing->again_timer);
-	drop_feed(hearing, "another-taken");
-	hearing->feed = link;
-	hearing_stop_following(hearing);
-	note_news(hearing, link);
+	store_sync_cancel_timer(sync, &sync->candidate_timer);
+	store_sync_cancel_timer(sync, &sync->start_timer);
+	store_sync_cancel_timer(sync, &sync->feeder_retry_timer);
+	close_feed(sync, "another-taken");
+	sync->feed = link;
+	store_sync_stop_watching(sync);
+	record_status(sync, link);
 	if (link->backup)
-		look_later(hearing, now_us);
-	hearing->ops->taken(hearing->ctx, link);
-	hearing_set_away(hearing, false);
+		check_store_later(sync, now_us);
+	sync->ops->feed_changed(sync->ctx, link);
+	store_sync_set_unreachable(sync, false);
 }
 
-static void take_if_whole(hearing_t *hearing, hearing_link_t *link, uint64_t now_us)
+static void switch_if_complete(store_sync_t *sync, store_sync_link_t *link, uint64_t now_us)
 {
-	if (link == hearing->trial && link->sure && is_whole(hearing, link))
-		take_trial(hearing, now_us);
+	if (link == sync->candidate && link->status_ok && has_all_lists(sync, link))
+		switch_to_candidate(sync, now_us);
 }
 
-void hearing_link_listed(hearing_t *hearing, hearing_link_t *link, uint32_t kind, uint64_t now_us)
+void store_sync_link_listed(store_sync_t *sync, store_sync_link_t *link, uint32_t kind,
+			    uint64_t now_us)
 {
-	link->listed |= 1u << kind;
-	take_if_whole(hearing, link, now_us);
+	link->lists_done |= 1u << kind;
+	switch_if_complete(sync, link, now_us);
 }
 
-static void judge_trial(hearing_t *hearing, hearing_link_t *link, const hearing_news_t *news,
-			uint64_t now_us)
+static void evaluate_candidate(store_sync_t *sync, store_sync_link_t *link,
+			       const store_sync_status_t *status, uint64_t now_us)
 {
-	hearing_cancel_timer(hearing, &hearing->trial_timer);
-	if (feed_judge(&hearing->timing, link->backup, false, news->away, news->age_us) ==
+	store_sync_cancel_timer(sync, &sync->candidate_timer);
+	if (feed_judge(&sync->timing, link->backup, false, status->unreliable, status->age_us) ==
 	    FEED_KEEP) {
-		link->sure = true;
-		take_if_whole(hearing, link, now_us);
+		link->status_ok = true;
+		switch_if_complete(sync, link, now_us);
 		return;
 	}
-	if (link->backup && *news->from) {
-		g_free(hearing->named);
-		hearing->named = g_strdup(news->from);
+	if (link->backup && *status->from) {
+		g_free(sync->suggested_backup);
+		sync->suggested_backup = g_strdup(status->from);
 	}
-	end_trial(hearing, news->away ? "store-away" : "news-old", now_us);
+	reject_candidate(sync, status->unreliable ? "store-away" : "news-old", now_us);
 }
 
-static void judge_feed(hearing_t *hearing, hearing_link_t *link, const hearing_news_t *news,
-		       uint64_t now_us)
+static void evaluate_feed(store_sync_t *sync, store_sync_link_t *link,
+			  const store_sync_status_t *status, uint64_t now_us)
 {
 	feed_verdict_t verdict =
-		feed_judge(&hearing->timing, link->backup, true, news->away, news->age_us);
+		feed_judge(&sync->timing, link->backup, true, status->unreliable, status->age_us);
 
 	if (verdict == FEED_LEAVE) {
-		lose_feed(hearing, news->away ? "store-away" : "news-old", now_us);
+		on_feed_failed(sync, status->unreliable ? "store-away" : "news-old", now_us);
 		return;
 	}
-	note_news(hearing, link);
+	record_status(sync, link);
 	if (verdict == FEED_KEEP) {
-		trust(hearing);
+		on_feeder_recovered(sync);
 		return;
 	}
-	hearing_cancel_timer(hearing, &hearing->stale_timer);
-	doubt(hearing, news->age_us, now_us);
+	store_sync_cancel_timer(sync, &sync->feed_stale_timer);
+	on_feeder_cut_off(sync, status->age_us, now_us);
 }
 
-void hearing_link_news(hearing_t *hearing, hearing_link_t *link, const hearing_news_t *news,
-		       uint64_t now_us)
+void store_sync_link_status(store_sync_t *sync, store_sync_link_t *link,
+			    const store_sync_status_t *status, uint64_t now_us)
 {
-	link->heard_us = now_us > news->age_us ? now_us - news->age_us : 0;
-	if (link == hearing->trial)
-		judge_trial(hearing, link, news, now_us);
+	link->last_answer_us = now_us > status->age_us ? now_us - status->age_us : 0;
+	if (link == sync->candidate)
+		evaluate_candidate(sync, link, status, now_us);
 	else
-		judge_feed(hearing, link, news, now_us);
+		evaluate_feed(sync, link, status, now_us);
 }
 
-void hearing_link_ended(hearing_t *hearing, hearing_link_t *link, const char *reason,
-			uint64_t now_us)
+void store_sync_link_ended(store_sync_t *sync, store_sync_link_t *link, const char *reason,
+			   uint64_t now_us)
 {
-	if (link == hearing->trial)
-		end_trial(hearing, reason, now_us);
+	if (link == sync->candidate)
+		reject_candidate(sync, reason, now_us);
 	else
-		lose_feed(hearing, reason, now_us);
+		on_feed_failed(sync, reason, now_us);
 }
 
 /* ---- interface ---- */
@@ -406,59 +411,59 @@
 		g_ptr_array_add(names, g_strdup(((const vm_t *)g_ptr_array_index(vms, i))->name));
 }
 
-void hearing_set_vms(hearing_t *hearing, const GPtrArray *feeders, const GPtrArray *backups,
-		     bool feeds, uint64_t now_us)
+void store_sync_set_vms(store_sync_t *sync, const GPtrArray *feeders, const GPtrArray *backups,
+			bool is_feeder, uint64_t now_us)
 {
-	hearing->feeds = feeds;
-	set_names(hearing->feeders, feeders);
-	set_names(hearing->backups, backups);
+	sync->is_feeder = is_feeder;
+	set_names(sync->feeders, feeders);
+	set_names(sync->backups, backups);
 	if (!feeders->len) {
-		hearing_cancel_timer(hearing, &hearing->again_timer);
-		if (hearing->trial && !hearing->trial->backup)
-			close_trial(hearing, "chosen-to-watch");
-		if (hearing->feed && !hearing->feed->backup)
-			drop_feed(hearing, "chosen-to-watch");
-	} else if (!hearing_is_set(&hearing->again_timer)) {
-		seek_feeder(hearing, now_us);
+		store_sync_cancel_timer(sync, &sync->feeder_retry_timer);
+		if (sync->candidate && !sync->candidate->backup)
+			close_candidate(sync, "chosen-to-watch");
+		if (sync->feed && !sync->feed->backup)
+			close_feed(sync, "chosen-to-watch");
+	} else if (!store_sync_is_set(&sync->feeder_retry_timer)) {
+		on_feeder_retry_due(sync, now_us);
 	}
-	if (!hearing->feed && (!hearing->trial || hearing->trial->backup))
-		hearing_follow_store(hearing, now_us);
+	if (!sync->feed && (!sync->candidate || sync->candidate->backup))
+		store_sync_watch_store(sync, now_us);
 }
 
-void hearing_refresh(hearing_t *hearing, uint64_t now_us)
+void store_sync_refresh(store_sync_t *sync, uint64_t now_us)
 {
-	if (hearing->feed) {
-		leave_feed(hearing, "refresh", false, now_us);
+	if (sync->feed) {
+		leave_feed(sync, "refresh", false, now_us);
 		return;
 	}
-	if (hearing->trial)
-		close_trial(hearing, "refresh");
-	hearing->follows = false;
-	hearing_follow_store(hearing, now_us);
+	if (sync->candidate)
+		close_candidate(sync, "refresh");
+	sync->watches = false;
+	store_sync_watch_store(sync, now_us);
 }
 
-void hearing_start(hearing_t *hearing, uint64_t now_us)
+void store_sync_start(store_sync_t *sync, uint64_t now_us)
 {
-	hearing_set_timer(hearing, &hearing->start_timer, now_us + START_MOST_US);
+	store_sync_set_timer(sync, &sync->start_timer, now_us + START_TIMEOUT_US);
 }
 
 static void on_start_over(void *ctx, uint64_t now_us)
 {
-	hearing_follow_store(ctx, now_us);
+	store_sync_watch_store(ctx, now_us);
 }
 
-void hearing_links_init(hearing_t *hearing)
+void store_sync_links_init(store_sync_t *sync)
 {
-	hearing->start_timer = (timer_entry_t){.fire = on_start_over, .ctx = hearing};
-	hearing->again_timer = (timer_entry_t){.fire = seek_feeder, .ctx = hearing};
-	hearing->stale_timer = (timer_entry_t){.fire = on_stale, .ctx = hearing};
-	hearing->trial_timer = (timer_entry_t){.fire = on_trial_silent, .ctx = hearing};
-	hearing->look_timer = (timer_entry_t){.fire = look, .ctx = hearing};
-	hearing->backup_timer = (timer_entry_t){.fire = on_backup_due, .ctx = hearing};
+	sync->start_timer = (timer_entry_t){.fire = on_start_over, .ctx = sync};
+	sync->feeder_retry_timer = (timer_entry_t){.fire = on_feeder_retry_due, .ctx = sync};
+	sync->feed_stale_timer = (timer_entry_t){.fire = on_feed_stale, .ctx = sync};
+	sync->candidate_timer = (timer_entry_t){.fire = on_candidate_timeout, .ctx = sync};
+	sync->check_timer = (timer_entry_t){.fire = check_store, .ctx = sync};
+	sync->backup_timer = (timer_entry_t){.fire = on_backup_due, .ctx = sync};
 }
 
-void hearing_close_links(hearing_t *hearing)
+void store_sync_close_links(store_sync_t *sync)
 {
-	close_trial(hearing, "end");
-	close_link(hearing, &hearing->feed, "end");
+	close_candidate(sync, "end");
+	close_link(sync, &sync->feed, "end");
 }
--- a/src/core/hearing_private.h
+++ b/src/core/hearing_private.h
@@ -1,6 +1,6 @@
 /**
  * @file hearing_private.h
- * What the modules of hearing.h share: asking the store (hearing.c), and links to other VMs
+ * Shared by the modules behind hearing.h: calls to the store (hearing.c), and links to feeders
  * (hearing_links.c).
  */
 #ifndef DS_HEARING_PRIVATE_H
@@ -10,76 +10,76 @@
 #include "core/hearing.h"
 #include "core/timers.h"
 
-/** One kind of objects being followed. */
-typedef struct kind_t {
-	hearing_t *hearing;
+/** The state of one kind of objects. */
+typedef struct sync_kind_t {
+	store_sync_t *sync;
 	uint32_t number;
-	hearing_kind_t setting;
+	store_sync_kind_t config;
 	follow_t follow;
-	bool out;	   /* a call is */
-	bool out_long;	   /* it is a watch that waits for a change */
-	bool known;	   /* the list was read since this VM follows the store */
-	bool parked;	   /* to be asked for once the store answers */
-	uint32_t failures; /* in a row */
-	uint64_t heard_us; /* when the store last answered for it */
+	bool pending;		 /* a call is pending */
+	bool pending_watch;	 /* the pending call is a watch that waits for a change */
+	bool list_read;		 /* the list was read since this VM began to watch the store */
+	bool postponed;		 /* to be requested once the store answers */
+	uint32_t failures;	 /* in a row */
+	uint64_t last_answer_us; /* when the store last answered for it */
 	timer_entry_t next;
-} kind_t;
+} sync_kind_t;
 
-struct hearing_t {
+struct store_sync_t {
 	feed_timing_t timing;
-	const hearing_ops_t *ops;
+	const store_sync_ops_t *ops;
 	void *ctx;
 	GRand *rand;
 	timers_t timers;
-	kind_t *kinds;
+	sync_kind_t *kinds;
 	uint32_t count;
-	kind_t *probed;
-	GPtrArray *feeders;	   /* names */
-	GPtrArray *backups;	   /* names */
-	uint32_t tries;		   /* feeders tried so far */
-	hearing_link_t *feed;	   /* relied on; NULL: none is */
-	hearing_link_t *trial;	   /* not yet; NULL: none is tried */
-	bool feeds;		   /* others are to hear the store from this VM */
-	bool follows;		   /* watches the store itself */
-	bool failing;		   /* the store did not answer the last call */
-	bool silent;		   /* a call since then had no answer at all */
-	bool probing;		   /* only the probed kind is asked for */
-	bool away;		   /* the store can't be heard */
-	bool doubts;		   /* the feeder can't hear it */
-	bool looking;		   /* a look is out */
-	uint32_t looks;		   /* in vain, in a row */
-	uint64_t fed_heard_us;	   /* when a feeder last heard the store, by its word */
-	char *named;		   /* a VM that a backup says it hears the store from; NULL: none */
-	uint32_t backups_tried;	   /* in all */
-	uint32_t backups_row;	   /* without a pause */
-	timer_entry_t start_timer; /* the store is watched if no feed is taken until then */
-	timer_entry_t again_timer; /* the next feeder is tried */
-	timer_entry_t stale_timer; /* the feed's news are too old */
-	timer_entry_t trial_timer; /* the trial has not said anything */
-	timer_entry_t look_timer;  /* the next look */
-	timer_entry_t backup_timer; /* the next backup is tried */
+	sync_kind_t *probe_kind;
+	GPtrArray *feeders;	      /* names */
+	GPtrArray *backups;	      /* names */
+	uint32_t feeders_tried;	      /* feeders tried in vain so far */
+	store_sync_link_t *feed;      /* the link in use; NULL: none */
+	store_sync_link_t *candidate; /* the link being tried; NULL: none */
+	bool is_feeder;		      /* other VMs are to subscribe to this VM */
+	bool watches;		      /* this VM watches the store itself */
+	bool failing;		      /* the store did not answer the last call */
+	bool timed_out;		      /* a call since then timed out */
+	bool probing;		      /* only the probed kind is requested */
+	bool unreachable;	      /* no source reaches the store */
+	bool feeder_cut_off;	      /* the feeder does not reach the store */
+	bool checking;		      /* a store check is pending */
+	uint32_t failed_checks;	      /* failed store checks since the feeder was cut off */
+	uint64_t feed_last_answer_us; /* when the store last answered a feeder, by its status */
+	char *suggested_backup;	      /* the VM that a rejected backup says feeds it; NULL: none */
+	uint32_t backups_tried;	      /* in total */
+	uint32_t backups_in_round;    /* since the last pause */
+	timer_entry_t start_timer;    /* the store is watched if there is no feed until then */
+	timer_entry_t feeder_retry_timer; /* the next feeder is tried */
+	timer_entry_t feed_stale_timer;	  /* the feed's data reaches its age limit */
+	timer_entry_t candidate_timer;	  /* the candidate has not sent a status in time */
+	timer_entry_t check_timer;	  /* the next store check */
+	timer_entry_t backup_timer;	  /* the next backup is tried */
 };
 
-uint64_t hearing_random_us(hearing_t *hearing, uint64_t least_us, uint64_t most_us);
-void hearing_set_timer(hearing_t *hearing, timer_entry_t *timer, uint64_t at_us);
-void hearing_cancel_timer(hearing_t *hearing, timer_entry_t *timer);
-bool hearing_is_set(const timer_entry_t *timer);
-/** The store can, or can't, be heard by any way. */
-void hearing_set_away(hearing_t *hearing, bool away);
+uint64_t store_sync_random_us(store_sync_t *sync, uint64_t min_us, uint64_t max_us);
+void store_sync_set_timer(store_sync_t *sync, timer_entry_t *timer, uint64_t at_us);
+void store_sync_cancel_timer(store_sync_t *sync, timer_entry_t *timer);
+bool store_sync_is_set(const timer_entry_t *timer);
+/** Set whether no source reaches the store, and call back when that changes. */
+void store_sync_set_unreachable(store_sync_t *sync, bool unreachable);
 
-/** Watch the store, unless that is done: all lists first, or the probed kind while it is away. */
-void hearing_follow_store(hearing_t *hearing, uint64_t now_us);
-/** Another VM tells of it from here on; what was announced is still read. */
-void hearing_stop_following(hearing_t *hearing);
+/** Watch the store, unless it is watched already: starts with the lists of all kinds, or only with
+ * the probed kind while the store is unreachable. */
+void store_sync_watch_store(store_sync_t *sync, uint64_t now_us);
+/** A feeder relays changes from now on; announced objects are still read from the store. */
+void store_sync_stop_watching(store_sync_t *sync);
 
-/** Set the timers' callbacks. */
-void hearing_links_init(hearing_t *hearing);
-/** Try the next backup, if neither the store nor the feeder can be heard and none is being tried.
- */
-void hearing_seek_backup(hearing_t *hearing, uint64_t now_us);
-/** The store or the feeder is heard again. */
-void hearing_stop_seeking_backup(hearing_t *hearing);
-void hearing_close_backup_trial(hearing_t *hearing, const char *reason);
-void hearing_close_links(hearing_t *hearing);
+/** Set the callbacks of the timers of hearing_links.c. */
+void store_sync_links_init(store_sync_t *sync);
+/** Try the next backup, unless the store or the feed works or another candidate is being tried. */
+void store_sync_try_backup(store_sync_t *sync, uint64_t now_us);
+/** The store answers again, or the feeder reaches it again. */
+void store_sync_stop_trying_backups(store_sync_t *sync);
+void store_sync_close_backup_candidate(store_sync_t *sync, const char *reason);
+void store_sync_close_links(store_sync_t *sync);
 
 #endif
--- a/src/tasks/follower.c
+++ b/src/tasks/follower.c
@@ -39,7 +39,7 @@
 				      &g_array_index(page->objects, store_object_t, i));
 }
 
-static hearing_end_t take_list_page(follower_t *follower, const store_page_t *page)
+static store_sync_result_t take_list_page(follower_t *follower, const store_page_t *page)
 {
 	const store_object_t *last;
 
@@ -53,30 +53,31 @@
 	if (page->more && page->objects->len) {
 		last = &g_array_index(page->objects, store_object_t, page->objects->len - 1);
 		follower->after = g_strdup(last->name);
-		return HEARING_HEARD;
+		return STORE_SYNC_OK;
 	}
 	follower->ops->list_end(follower->ctx);
-	return HEARING_LISTED;
+	return STORE_SYNC_LISTED;
 }
 
-static hearing_end_t take_events(follower_t *follower, const store_page_t *page)
+static store_sync_result_t take_events(follower_t *follower, const store_page_t *page)
 {
 	give_objects(follower, page);
 	follower->since = MAX(follower->since, page->as_of);
-	return page->objects->len ? HEARING_CHANGED : HEARING_HEARD;
+	return page->objects->len ? STORE_SYNC_CHANGED : STORE_SYNC_OK;
 }
 
-static hearing_end_t take_result(follower_t *follower, bool lists, const platform_result_t *result)
+static store_sync_result_t take_result(follower_t *follower, bool lists,
+				       const platform_result_t *result)
 {
 	store_page_t page = {0};
-	hearing_end_t end = HEARING_REFUSED;
+	store_sync_result_t end = STORE_SYNC_FAILED;
 
 	if (result->reach == PLATFORM_SILENT)
-		return HEARING_SILENT;
+		return STORE_SYNC_TIMED_OUT;
 	if (result->status == 410) {
 		g_message("event=store-history-gone kind=%s since=%" G_GUINT64_FORMAT,
 			  store_kind_name(follower->kind), follower->since);
-		return HEARING_GONE;
+		return STORE_SYNC_HISTORY_GONE;
 	}
 	if (result->status == 200 && store_read_page(result->body, &page))
 		end = lists ? take_list_page(follower, &page) : take_events(follower, &page);
@@ -100,14 +101,14 @@
 	follower_t *follower = fetch->follower;
 	bool current = follower->fetch == fetch;
 	bool lists = fetch->lists;
-	hearing_end_t end;
+	store_sync_result_t end;
 
 	g_free(fetch);
 	if (!current)
 		return;
 	follower->fetch = NULL;
 	end = take_result(follower, lists, result);
-	if (end >= HEARING_REFUSED)
+	if (end >= STORE_SYNC_FAILED)
 		log_failure(follower, lists, result);
 	follower->ops->ended(follower->ctx, end);
 }
@@ -120,7 +121,7 @@
 		platform_task_abandon(follower->platform, fetch);
 }
 
-void follower_ask(follower_t *follower, const hearing_call_t *call)
+void follower_ask(follower_t *follower, const store_sync_call_t *call)
 {
 	g_autofree char *target =
 		call->list ? store_list_target(follower->kind, follower->after)
--- a/src/tasks/follower.h
+++ b/src/tasks/follower.h
@@ -21,13 +21,13 @@
 	void (*object)(void *ctx, const store_object_t *object);
 	void (*list_end)(void *ctx);
 	/** The call has ended, and all that it said was handed over. */
-	void (*ended)(void *ctx, hearing_end_t end);
+	void (*ended)(void *ctx, store_sync_result_t end);
 } follower_ops_t;
 
 follower_t *follower_new(platform_task_t *platform, store_kind_t kind, const follower_ops_t *ops,
 			 void *ctx);
 /** One call; one that is out counts no more. */
-void follower_ask(follower_t *follower, const hearing_call_t *call);
+void follower_ask(follower_t *follower, const store_sync_call_t *call);
 /** The call that is out counts no more: `ended` does not follow. */
 void follower_cancel(follower_t *follower);
 /** The list is read from its start. */
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -60,7 +60,7 @@
 	GHashTable *regions; /* data centre to region */
 	supply_kind_t kinds[FED_KINDS_MOST];
 	uint32_t kind_count;
-	hearing_t *hearing;
+	store_sync_t *hearing;
 	loop_timer_t hearing_timer;
 	feed_server_t *server;
 	bool sights; /* tells of searchers: the region has so many VMs that it is of use */
@@ -74,11 +74,11 @@
 /** A connection to a VM that tells of the store. */
 typedef struct supply_link_t {
 	supply_task_t *task;
-	hearing_link_t *link;
+	store_sync_link_t *link;
 	feed_client_t *client;
 } supply_link_t;
 
-static feed_client_t *client_of(const hearing_link_t *link)
+static feed_client_t *client_of(const store_sync_link_t *link)
 {
 	return ((const supply_link_t *)link->data)->client;
 }
@@ -86,7 +86,7 @@
 /* After anything was told to it. */
 static void arm_hearing(supply_task_t *task)
 {
-	uint64_t next_us = hearing_next_us(task->hearing), now_us = loop_now_us();
+	uint64_t next_us = store_sync_next_us(task->hearing), now_us = loop_now_us();
 
 	if (next_us == TIMERS_NEVER)
 		loop_timer_cancel(&task->hearing_timer);
@@ -99,7 +99,7 @@
 {
 	supply_task_t *task = ctx;
 
-	hearing_run(task->hearing, loop_now_us());
+	store_sync_run(task->hearing, loop_now_us());
 	arm_hearing(task);
 }
 
@@ -112,7 +112,7 @@
 	char *text;
 	bool fits;
 
-	if (!hearing_follows(task->hearing))
+	if (!store_sync_watches(task->hearing))
 		return;
 	text = object ? json_dumps(object->content, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
 	fits = text && feed_may_tell(strlen(text), feed_server_subscribers(task->server),
@@ -154,19 +154,19 @@
 	kind->task->ops->list_end(kind->task->ctx, kind->kind);
 }
 
-static void on_call_ended(void *ctx, hearing_end_t end)
+static void on_call_ended(void *ctx, store_sync_result_t end)
 {
 	supply_kind_t *kind = ctx;
 
-	if (end == HEARING_LISTED)
+	if (end == STORE_SYNC_LISTED)
 		g_hash_table_remove_all(kind->announced);
-	hearing_replied(kind->task->hearing, kind->kind, end, loop_now_us());
+	store_sync_call_ended(kind->task->hearing, kind->kind, end, loop_now_us());
 	arm_hearing(kind->task);
 }
 
 /* ---- asking the store ---- */
 
-static void on_ask(void *ctx, uint32_t kind, const hearing_call_t *call)
+static void on_ask(void *ctx, uint32_t kind, const store_sync_call_t *call)
 {
 	follower_ask(((supply_task_t *)ctx)->kinds[kind].follower, call);
 }
@@ -202,7 +202,7 @@
 	       reached ? "reached" : "away");
 	if (reached)
 		take_look(task, result);
-	hearing_looked(task->hearing, reached, loop_now_us());
+	store_sync_check_ended(task->hearing, reached, loop_now_us());
 	arm_hearing(task);
 }
 
@@ -266,7 +266,7 @@
 static void send_sightings(void *ctx)
 {
 	supply_task_t *task = ctx;
-	const hearing_link_t *feed = hearing_feed(task->hearing);
+	const store_sync_link_t *feed = store_sync_feed(task->hearing);
 
 	if (feed)
 		feed_client_write(client_of(feed), task->sightings);
@@ -295,7 +295,7 @@
 
 /* ---- links to other VMs ---- */
 
-static void take_change(supply_kind_t *kind, hearing_link_t *link, const feed_message_t *message)
+static void take_change(supply_kind_t *kind, store_sync_link_t *link, const feed_message_t *message)
 {
 	supply_task_t *task = kind->task;
 
@@ -305,21 +305,21 @@
 		break;
 	case FEED_LIST_END:
 		give_list_end(kind);
-		hearing_link_listed(task->hearing, link, kind->kind, loop_now_us());
+		store_sync_link_listed(task->hearing, link, kind->kind, loop_now_us());
 		break;
 	case FEED_CHANGED:
 		g_message("event=feed-announced kind=%s name=%s outcome=read-from-store",
 			  store_kind_name(kind->kind), message->name);
 		g_hash_table_insert(kind->announced, g_strdup(message->name),
 				    g_new0(announced_t, 1));
-		hearing_announced(task->hearing, kind->kind, loop_now_us());
+		store_sync_announced(task->hearing, kind->kind, loop_now_us());
 		break;
 	case FEED_OBJECT:
 	case FEED_REMOVED:
 		take_object(kind, message);
 		if (g_hash_table_remove(kind->announced, message->name) &&
 		    !g_hash_table_size(kind->announced))
-			hearing_told(task->hearing, kind->kind);
+			store_sync_announced_received(task->hearing, kind->kind);
 		break;
 	default:
 		g_info("event=feed-message-ignored type=%d reason=not-for-subscribers",
@@ -329,10 +329,10 @@
 
 static void take_news(supply_link_t *own, const feed_message_t *message)
 {
-	const hearing_news_t news = {
-		.away = message->away, .age_us = message->age_us, .from = message->name};
+	const store_sync_status_t news = {
+		.unreliable = message->away, .age_us = message->age_us, .from = message->name};
 
-	hearing_link_news(own->task->hearing, own->link, &news, loop_now_us());
+	store_sync_link_status(own->task->hearing, own->link, &news, loop_now_us());
 }
 
 /* The feed's list is taken while the store is still watched: both say the same, or nearly, and the
@@ -361,11 +361,11 @@
 	supply_link_t *own = ctx;
 	supply_task_t *task = own->task;
 
-	hearing_link_ended(task->hearing, own->link, reason, loop_now_us());
+	store_sync_link_ended(task->hearing, own->link, reason, loop_now_us());
 	arm_hearing(task);
 }
 
-static bool on_open(void *ctx, hearing_link_t *link)
+static bool on_open(void *ctx, store_sync_link_t *link)
 {
 	static const feed_client_ops_t ops = {.message = on_feed_message, .ended = on_feed_ended};
 	supply_task_t *task = ctx;
@@ -381,12 +381,12 @@
 	return own->client != NULL;
 }
 
-static void on_close(void *ctx, hearing_link_t *link, const char *reason)
+static void on_close(void *ctx, store_sync_link_t *link, const char *reason)
 {
 	supply_task_t *task = ctx;
 	supply_link_t *own = link->data;
 
-	if (hearing_feed(task->hearing) == link)
+	if (store_sync_feed(task->hearing) == link)
 		g_message("event=feed-lost vm=%s reason=%s age_us=%" G_GUINT64_FORMAT, link->vm,
 			  reason, supply_task_age_us(task));
 	else
@@ -396,7 +396,7 @@
 	g_free(own);
 }
 
-static void on_ask_link(void *ctx, hearing_link_t *link, uint32_t number)
+static void on_ask_link(void *ctx, store_sync_link_t *link, uint32_t number)
 {
 	supply_task_t *task = ctx;
 	g_autoptr(GByteArray) frames = g_byte_array_new();
@@ -420,7 +420,7 @@
 	feed_client_write(client_of(link), frames);
 }
 
-static void on_taken(void *ctx, const hearing_link_t *link)
+static void on_taken(void *ctx, const store_sync_link_t *link)
 {
 	supply_task_t *task = ctx;
 
@@ -435,7 +435,7 @@
 {
 	supply_task_t *task = ctx;
 
-	hearing_answered(task->hearing, answered, loop_now_us());
+	store_sync_other_call_ended(task->hearing, answered, loop_now_us());
 	arm_hearing(task);
 }
 
@@ -449,7 +449,7 @@
 							   task->timing.evacuation_watch_ms};
 
 	for (uint32_t i = 0; i < task->kind_count; i++)
-		hearing_set_wait(task->hearing, i, waits_ms[i]);
+		store_sync_set_wait(task->hearing, i, waits_ms[i]);
 }
 
 static void on_members(void *ctx)
@@ -462,8 +462,8 @@
 
 	task->sights = feed_is_used(&all, own->data_centre);
 	set_waits(task, task->sights && !feeders->len);
-	hearing_set_vms(task->hearing, feeders, backups, task->sights && !feeders->len,
-			loop_now_us());
+	store_sync_set_vms(task->hearing, feeders, backups, task->sights && !feeders->len,
+			   loop_now_us());
 	arm_hearing(task);
 	task->ops->members(task->ctx);
 }
@@ -472,13 +472,13 @@
 
 static feed_message_t news_of(const supply_task_t *task)
 {
-	const hearing_news_t news = hearing_news(task->hearing, loop_now_us());
+	const store_sync_status_t news = store_sync_status(task->hearing, loop_now_us());
 
 	return (feed_message_t){.type = FEED_NEWS,
 				.name = news.from,
 				.text = "",
 				.age_us = news.age_us,
-				.away = news.away,
+				.away = news.unreliable,
 				.era = platform_task_era(task->platform)};
 }
 
@@ -497,15 +497,15 @@
 	supply_task_t *task = ctx;
 
 	*news = news_of(task);
-	return hearing_is_known(task->hearing);
+	return store_sync_has_data(task->hearing);
 }
 
 static void on_restored(void *ctx)
 {
 	supply_task_t *task = ctx;
 
-	task->ops->restored(task->ctx, hearing_follows(task->hearing));
-	hearing_restored(task->hearing, loop_now_us());
+	task->ops->restored(task->ctx, store_sync_watches(task->hearing));
+	store_sync_restored(task->hearing, loop_now_us());
 	arm_hearing(task);
 	member_task_restored(task->members);
 }
@@ -530,27 +530,27 @@
 
 static void start_hearing(supply_task_t *task)
 {
-	static const hearing_ops_t ops = {.ask = on_ask,
-					  .cancel = on_cancel,
-					  .list_anew = on_list_anew,
-					  .look = on_look,
-					  .open = on_open,
-					  .close = on_close,
-					  .ask_link = on_ask_link,
-					  .taken = on_taken,
-					  .lost = on_lost,
-					  .back = on_back};
-	static const hearing_kind_t kinds[FED_KINDS_MOST] = {
-		[STORE_SEARCHERS] = {.group_us = GROUP_US, .often = true},
-		[STORE_CONFIGURATION] = {.group_us = OPERATOR_GROUP_US, .often = true},
+	static const store_sync_ops_t ops = {.call = on_ask,
+					     .cancel = on_cancel,
+					     .restart_list = on_list_anew,
+					     .check_store = on_look,
+					     .open = on_open,
+					     .close = on_close,
+					     .request_announced = on_ask_link,
+					     .feed_changed = on_taken,
+					     .unreachable = on_lost,
+					     .recovered = on_back};
+	static const store_sync_kind_t kinds[FED_KINDS_MOST] = {
+		[STORE_SEARCHERS] = {.group_us = GROUP_US, .frequent = true},
+		[STORE_CONFIGURATION] = {.group_us = OPERATOR_GROUP_US, .frequent = true},
 		[STORE_POISON] = {.group_us = OPERATOR_GROUP_US},
 		[STORE_EVACUATIONS] = {.group_us = OPERATOR_GROUP_US}};
 
 	task->hearing_timer = (loop_timer_t){.fire = run_hearing, .ctx = task};
-	task->hearing = hearing_new(&task->timing, kinds, task->kind_count, STORE_CONFIGURATION,
-				    &ops, task, g_random_int());
+	task->hearing = store_sync_new(&task->timing, kinds, task->kind_count, STORE_CONFIGURATION,
+				       &ops, task, g_random_int());
 	set_waits(task, false);
-	hearing_start(task->hearing, loop_now_us());
+	store_sync_start(task->hearing, loop_now_us());
 	arm_hearing(task);
 }
 
@@ -596,13 +596,13 @@
 
 void supply_task_refresh(supply_task_t *task)
 {
-	hearing_refresh(task->hearing, loop_now_us());
+	store_sync_refresh(task->hearing, loop_now_us());
 	arm_hearing(task);
 }
 
 void supply_task_read_configuration(supply_task_t *task)
 {
-	hearing_catch_up(task->hearing, STORE_CONFIGURATION, loop_now_us());
+	store_sync_catch_up(task->hearing, STORE_CONFIGURATION, loop_now_us());
 	arm_hearing(task);
 }
 
@@ -618,7 +618,7 @@
 
 uint64_t supply_task_age_us(const supply_task_t *task)
 {
-	return hearing_age_us(task->hearing, loop_now_us());
+	return store_sync_age_us(task->hearing, loop_now_us());
 }
 
 uint32_t supply_task_kinds(const supply_task_t *task)
@@ -628,12 +628,12 @@
 
 uint64_t supply_task_kind_age_us(const supply_task_t *task, store_kind_t kind)
 {
-	return hearing_kind_age_us(task->hearing, kind, loop_now_us());
+	return store_sync_kind_age_us(task->hearing, kind, loop_now_us());
 }
 
 bool supply_task_is_fed(const supply_task_t *task)
 {
-	return hearing_feed(task->hearing) != NULL;
+	return store_sync_feed(task->hearing) != NULL;
 }
 
 uint64_t supply_task_era(const supply_task_t *task)
--- a/tests/hearing_test.c
+++ b/tests/hearing_test.c
@@ -45,7 +45,7 @@
 
 typedef struct call_t {
 	uint32_t serial; /* 0: none is out */
-	hearing_call_t asked;
+	store_sync_call_t asked;
 	uint64_t since; /* revision that a watch goes on from */
 	bool waits;	/* at the store, for a change */
 	uint64_t answered_us;
@@ -55,7 +55,7 @@
 typedef struct node_t {
 	struct sim_t *sim;
 	uint32_t number;
-	hearing_t *hearing;
+	store_sync_t *sync;
 	call_t calls[KINDS];
 	uint64_t known[KINDS]; /* revision */
 	uint32_t asked;	       /* calls so far, looks too */
@@ -146,7 +146,7 @@
 	if (node->calls[kind].serial != serial)
 		return;
 	node->calls[kind].serial = 0;
-	hearing_replied(node->hearing, (uint32_t)kind, HEARING_REFUSED, sim->now_us);
+	store_sync_call_ended(node->sync, (uint32_t)kind, STORE_SYNC_FAILED, sim->now_us);
 }
 
 static void arrive(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
@@ -175,7 +175,7 @@
 	if (revision <= node->known[kind])
 		return;
 	node->known[kind] = revision;
-	if (hearing_follows(node->hearing))
+	if (store_sync_watches(node->sync))
 		tell_subscribers(sim, node);
 }
 
@@ -184,9 +184,9 @@
 	call_t *call = &node->calls[kind];
 	const away_t *away = away_for(sim, node);
 	bool changed = sim->revision[kind] > call->since;
-	hearing_end_t end = call->asked.list ? HEARING_LISTED
-			    : changed	     ? HEARING_CHANGED
-					     : HEARING_HEARD;
+	store_sync_result_t end = call->asked.list ? STORE_SYNC_LISTED
+				  : changed	   ? STORE_SYNC_CHANGED
+						   : STORE_SYNC_OK;
 
 	if (call->serial != serial || call->dead ||
 	    (away && (away->manner == SILENT || away->manner == ANSWERS_LOST)))
@@ -195,7 +195,7 @@
 	call->answered_us = sim->now_us;
 	call->since = sim->revision[kind];
 	learn(sim, node, (uint32_t)kind, sim->revision[kind]);
-	hearing_replied(node->hearing, (uint32_t)kind, end, sim->now_us);
+	store_sync_call_ended(node->sync, (uint32_t)kind, end, sim->now_us);
 }
 
 static void give_up(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
@@ -204,7 +204,7 @@
 		return;
 	node->calls[kind].serial = 0;
 	node->calls[kind].dead = false;
-	hearing_replied(node->hearing, (uint32_t)kind, HEARING_SILENT, sim->now_us);
+	store_sync_call_ended(node->sync, (uint32_t)kind, STORE_SYNC_TIMED_OUT, sim->now_us);
 }
 
 static void change(sim_t *sim, node_t *node, uint64_t kind, uint64_t none)
@@ -254,7 +254,7 @@
 
 typedef struct link_t {
 	node_t *from, *to; /* the subscriber, and whom it hears */
-	hearing_link_t *link;
+	store_sync_link_t *link;
 	uint64_t told_us;
 	bool greeted;
 	bool lists;
@@ -289,21 +289,22 @@
 static void message(sim_t *sim, node_t *node, uint64_t a, uint64_t b)
 {
 	link_t *link = (link_t *)(uintptr_t)a;
-	hearing_news_t news;
+	store_sync_status_t status;
 
 	(void)b;
 	if (!is_open(link))
 		return;
-	news = hearing_news(link->to->hearing, sim->now_us);
+	status = store_sync_status(link->to->sync, sim->now_us);
 	link->told_us = sim->now_us;
-	if (!news.away || link->lists)
+	if (!status.unreliable || link->lists)
 		for (uint32_t kind = 0; kind < KINDS; kind++)
 			learn(sim, node, kind, link->to->known[kind]);
-	hearing_link_news(node->hearing, link->link, &news, sim->now_us);
-	for (uint32_t kind = 0; kind < KINDS && is_open(link) && !link->lists && !news.away; kind++)
-		hearing_link_listed(node->hearing, link->link, kind, sim->now_us);
+	store_sync_link_status(node->sync, link->link, &status, sim->now_us);
+	for (uint32_t kind = 0; kind < KINDS && is_open(link) && !link->lists && !status.unreliable;
+	     kind++)
+		store_sync_link_listed(node->sync, link->link, kind, sim->now_us);
 	if (is_open(link))
-		link->lists |= !news.away;
+		link->lists |= !status.unreliable;
 }
 
 static void tell_subscribers(sim_t *sim, const node_t *node)
@@ -323,7 +324,7 @@
 	if (!is_open(link))
 		return;
 	if (sim->now_us >= link->told_us + LINK_SILENT_US)
-		hearing_link_ended(node->hearing, link->link, "silent", sim->now_us);
+		store_sync_link_ended(node->sync, link->link, "silent", sim->now_us);
 	else
 		after(sim, link->told_us + LINK_SILENT_US - sim->now_us, listen_long, node, a,
 		      none);
@@ -335,7 +336,7 @@
 
 	if (!is_open(link))
 		return;
-	if (hearing_is_known(link->to->hearing))
+	if (store_sync_has_data(link->to->sync))
 		tell(sim, link);
 	after(sim, g_rand_int_range(sim->rand, 0, NEWS_US), news_due, node, a, none);
 }
@@ -350,7 +351,7 @@
 	call->serial = 0;
 }
 
-static void on_ask(void *ctx, uint32_t kind, const hearing_call_t *asked)
+static void on_ask(void *ctx, uint32_t kind, const store_sync_call_t *asked)
 {
 	node_t *node = ctx;
 	sim_t *sim = node->sim;
@@ -376,7 +377,7 @@
 	(void)none;
 	if (reached)
 		learn(sim, node, KIND_CONFIGURATION, sim->revision[KIND_CONFIGURATION]);
-	hearing_looked(node->hearing, reached, sim->now_us);
+	store_sync_check_ended(node->sync, reached, sim->now_us);
 }
 
 static void on_look(void *ctx, uint64_t timeout_us)
@@ -390,7 +391,7 @@
 	      !away || away->manner == SLOW, 0);
 }
 
-static bool on_open(void *ctx, hearing_link_t *hearing_link)
+static bool on_open(void *ctx, store_sync_link_t *sync_link)
 {
 	node_t *node = ctx;
 	sim_t *sim = node->sim;
@@ -398,11 +399,11 @@
 
 	node->links++;
 	link->from = node;
-	link->link = hearing_link;
+	link->link = sync_link;
 	link->told_us = sim->now_us;
-	hearing_link->data = link;
+	sync_link->data = link;
 	for (uint32_t i = 0; i < sim->count; i++)
-		if (g_str_equal(sim->nodes[i].name, hearing_link->vm))
+		if (g_str_equal(sim->nodes[i].name, sync_link->vm))
 			link->to = &sim->nodes[i];
 	g_ptr_array_add(links, link);
 	after(sim, DELAY_US, connected, node, (uint64_t)(uintptr_t)link, 0);
@@ -410,21 +411,21 @@
 	return true;
 }
 
-static void on_close(void *ctx, hearing_link_t *hearing_link, const char *reason)
+static void on_close(void *ctx, store_sync_link_t *sync_link, const char *reason)
 {
 	(void)ctx;
 	(void)reason;
-	g_ptr_array_remove_fast(links, hearing_link->data);
-	g_ptr_array_add(closed_links, hearing_link->data);
+	g_ptr_array_remove_fast(links, sync_link->data);
+	g_ptr_array_add(closed_links, sync_link->data);
 }
 
-static void on_ask_link(void *ctx, hearing_link_t *link, uint32_t kind)
+static void on_ask_link(void *ctx, store_sync_link_t *link, uint32_t kind)
 {
 	(void)link;
 	((node_t *)ctx)->asked_links += kind == KIND_CONFIGURATION;
 }
 
-static void on_taken(void *ctx, const hearing_link_t *link)
+static void on_taken(void *ctx, const store_sync_link_t *link)
 {
 	(void)ctx;
 	(void)link;
@@ -443,41 +444,43 @@
 		uint64_t next_us = timers_next_us(&sim->timers);
 
 		for (uint32_t i = 0; i < sim->count; i++)
-			next_us = MIN(next_us, hearing_next_us(sim->nodes[i].hearing));
+			next_us = MIN(next_us, store_sync_next_us(sim->nodes[i].sync));
 		if (next_us > end_us)
 			break;
 		sim->now_us = MAX(sim->now_us, next_us);
 		timers_run(&sim->timers, sim->now_us);
 		for (uint32_t i = 0; i < sim->count; i++)
-			hearing_run(sim->nodes[i].hearing, sim->now_us);
+			store_sync_run(sim->nodes[i].sync, sim->now_us);
 	}
 	sim->now_us = end_us;
 }
 
 static void add_node(sim_t *sim, const feed_timing_t *timing, bool feeds, uint32_t seed)
 {
-	static const hearing_ops_t ops = {.ask = on_ask,
-					  .cancel = on_cancel,
-					  .list_anew = on_list_anew,
-					  .look = on_look,
-					  .open = on_open,
-					  .close = on_close,
-					  .ask_link = on_ask_link,
-					  .taken = on_taken,
-					  .lost = on_nothing,
-					  .back = on_nothing};
+	static const store_sync_ops_t ops = {.call = on_ask,
+					     .cancel = on_cancel,
+					     .restart_list = on_list_anew,
+					     .check_store = on_look,
+					     .open = on_open,
+					     .close = on_close,
+					     .request_announced = on_ask_link,
+					     .feed_changed = on_taken,
+					     .unreachable = on_nothing,
+					     .recovered = on_nothing};
 	uint32_t wait_ms = feeds ? timing->feeder_watch_ms : timing->watch_ms;
-	const hearing_kind_t kinds[KINDS] = {
-		[KIND_SEARCHERS] = {.wait_ms = wait_ms, .group_us = 800 * MS_US, .often = true},
-		[KIND_CONFIGURATION] = {.wait_ms = wait_ms, .group_us = 100 * MS_US, .often = true},
+	const store_sync_kind_t kinds[KINDS] = {
+		[KIND_SEARCHERS] = {.wait_ms = wait_ms, .group_us = 800 * MS_US, .frequent = true},
+		[KIND_CONFIGURATION] = {.wait_ms = wait_ms,
+					.group_us = 100 * MS_US,
+					.frequent = true},
 		[KIND_RARE] = {.wait_ms = 20000}};
 	node_t *node = &sim->nodes[sim->count];
 
 	*node = (node_t){.sim = sim, .number = sim->count};
 	snprintf(node->name, sizeof(node->name), "vm-%u", sim->count++);
 	node->vm.name = node->name;
-	node->hearing = hearing_new(timing, kinds, KINDS, KIND_CONFIGURATION, &ops, node, seed);
-	hearing_start(node->hearing, sim->now_us);
+	node->sync = store_sync_new(timing, kinds, KINDS, KIND_CONFIGURATION, &ops, node, seed);
+	store_sync_start(node->sync, sim->now_us);
 }
 
 /** @param feeders the timing of VMs that feed others
@@ -521,8 +524,8 @@
 						   g_rand_int_range(sim->rand, 0, others->len + 1),
 						   &other->vm);
 		}
-		hearing_set_vms(sim->nodes[i].hearing, feeders, others,
-				watchers < sim->count && i < watchers, sim->now_us);
+		store_sync_set_vms(sim->nodes[i].sync, feeders, others,
+				   watchers < sim->count && i < watchers, sim->now_us);
 	}
 }
 
@@ -530,7 +533,7 @@
 static void sim_free(sim_t *sim)
 {
 	for (uint32_t i = 0; i < sim->count; i++)
-		hearing_free(sim->nodes[i].hearing);
+		store_sync_free(sim->nodes[i].sync);
 	while (sim->timers.heap->len) {
 		event_t *event = ((timer_entry_t *)g_ptr_array_index(sim->timers.heap, 0))->ctx;
 
@@ -849,11 +852,11 @@
 	introduce(sim, 4);
 	play_away(sim, BUSY, 8, START_US + 9000 * MS_US, 60000 * MS_US);
 	run_until(sim, START_US + 16000 * MS_US);
-	assert_non_null(hearing_feed(node->hearing));
-	hearing_announced(node->hearing, KIND_CONFIGURATION, sim->now_us);
+	assert_non_null(store_sync_feed(node->sync));
+	store_sync_announced(node->sync, KIND_CONFIGURATION, sim->now_us);
 	run_until(sim, sim->now_us + 1000 * MS_US);
 	assert_in_range(node->asked_links, 1, 4);
-	hearing_told(node->hearing, KIND_CONFIGURATION);
+	store_sync_announced_received(node->sync, KIND_CONFIGURATION);
 	node->asked_links = 0;
 	run_until(sim, sim->now_us + 5000 * MS_US);
 	assert_int_equal(node->asked_links, 0);
@@ -873,9 +876,9 @@
 	play_away(sim, BUSY, 0x0f, sim->now_us, 12000 * MS_US);
 	run_until(sim, sim->now_us + 24000 * MS_US);
 	for (uint32_t i = 0; i < sim->count; i++) {
-		const hearing_link_t *feed = hearing_feed(sim->nodes[i].hearing);
+		const store_sync_link_t *feed = store_sync_feed(sim->nodes[i].sync);
 
-		assert_int_equal(hearing_follows(sim->nodes[i].hearing), i < 2);
+		assert_int_equal(store_sync_watches(sim->nodes[i].sync), i < 2);
 		assert_int_equal(feed != NULL, i >= 2);
 		assert_false(feed && feed->backup);
 	}
@@ -906,13 +909,13 @@
 			node->cut = !node->cut;
 			break;
 		case 1:
-			hearing_refresh(node->hearing, sim->now_us);
+			store_sync_refresh(node->sync, sim->now_us);
 			break;
 		case 2:
-			hearing_catch_up(node->hearing, KIND_CONFIGURATION, sim->now_us);
+			store_sync_catch_up(node->sync, KIND_CONFIGURATION, sim->now_us);
 			break;
 		case 3:
-			hearing_restored(node->hearing, sim->now_us);
+			store_sync_restored(node->sync, sim->now_us);
 			break;
 		case 4:
 			introduce(sim, watchers);
