--- a/src/core/feed_choice.h
+++ b/src/core/feed_choice.h
@@ -1,10 +1,11 @@
 /**
  * @file feed_choice.h
- * Which VMs watch the platform's store, and whom the others hear it from.
+ * Chooses the VMs that watch the platform's store, and the feeders that the others subscribe to.
  *
- * The store's calls are priced and its rates grow more slowly than the fleet. So in a region with
- * many VMs a few watch it and feed the rest. Each VM decides alone, from the list of VMs that
- * it knows; lists that differ for a while only make some VM watch, or ask, one more.
+ * Calls to the store are priced, and its call rates grow more slowly than the fleet. So in a region
+ * with many VMs a few watch the store and feed the rest. Each VM decides alone, from its list of
+ * VMs; while the lists differ, the worst is that some VM watches the store without need, or tries
+ * one feeder more.
  */
 #ifndef DS_FEED_CHOICE_H
 #define DS_FEED_CHOICE_H
@@ -16,32 +17,35 @@
 /** The VMs registered, and where they are. */
 typedef struct feed_vms_t {
 	const GPtrArray *vms;	   /**< vm_t */
-	const GHashTable *regions; /**< data centre to region; one that is missing is a region of
+	const GHashTable *regions; /**< data centre to region; a missing data centre is a region of
 				    * its own */
 } feed_vms_t;
 
-/** Whether the region of @p data_centre has so many VMs that a few watch the store and feed the
+/** Whether the region of @p data_centre has enough VMs that a few watch the store and feed the
  * rest. */
 bool feed_is_used(const feed_vms_t *all, const char *data_centre);
 /**
- * The VMs to hear the store from, best first; empty when this VM watches the store itself. The
- * result borrows.
+ * The feeders of this VM, best first; empty when it watches the store itself. The result borrows
+ * its elements from @p all.
  */
-GPtrArray *feed_choose(const feed_vms_t *all, const char *own_name, const char *data_centre);
+GPtrArray *feed_choose_feeders(const feed_vms_t *all, const char *own_name,
+			       const char *data_centre);
 
 /**
- * The VMs that may know what the store holds when neither it nor those of feed_choose() can be
- * heard, best first: all but this one. The result borrows.
+ * The backup feeders, for when neither the store nor the VMs of feed_choose_feeders() can be used,
+ * best first: all VMs but this one. The result borrows its elements from @p all.
  */
-GPtrArray *feed_backups(const feed_vms_t *all, const char *own_name, const char *data_centre);
+GPtrArray *feed_choose_backups(const feed_vms_t *all, const char *own_name,
+			       const char *data_centre);
 
 /**
- * Whether an object of @p bytes is told, or only announced, to be read from the store.
- * @param subscribers that are told it
- * @param link_mbps of this VM's link; 0: not known
+ * Whether an object of @p bytes is sent whole; else it is only announced, and subscribers read it
+ * from the store.
+ * @param subscribers number of subscribers to send it to
+ * @param link_mbps bandwidth of this VM's network link; 0: not known
  */
-bool feed_may_tell(size_t bytes, uint32_t subscribers, uint32_t link_mbps);
-/** How long to wait after an object of @p bytes was told to one subscriber that asked for it. */
-uint64_t feed_pause_us(size_t bytes, uint32_t link_mbps);
+bool feed_sends_whole(size_t bytes, uint32_t subscribers, uint32_t link_mbps);
+/** Pause after an object of @p bytes was sent to one subscriber that requested it. */
+uint64_t feed_request_pause_us(size_t bytes, uint32_t link_mbps);
 
 #endif
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -105,7 +105,8 @@
 		bytes = server->frame->len;
 	}
 	asked_free(asked);
-	loop_timer_set(server->loop, &server->asked_timer, feed_pause_us(bytes, server->link_mbps));
+	loop_timer_set(server->loop, &server->asked_timer,
+		       feed_request_pause_us(bytes, server->link_mbps));
 }
 
 static bool is_asked(const subscriber_t *subscriber, const feed_message_t *message)
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -115,8 +115,8 @@
 	if (!store_sync_watches(task->hearing))
 		return;
 	text = object ? json_dumps(object->content, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
-	fits = text && feed_may_tell(strlen(text), feed_server_subscribers(task->server),
-				     member_task_own(task->members)->link_mbps);
+	fits = text && feed_sends_whole(strlen(text), feed_server_subscribers(task->server),
+					member_task_own(task->members)->link_mbps);
 	if (type == FEED_OBJECT && text && !fits)
 		type = FEED_CHANGED;
 	if (type == FEED_REMOVED && !fits)
@@ -457,8 +457,8 @@
 	supply_task_t *task = ctx;
 	const vm_t *own = member_task_own(task->members);
 	const feed_vms_t all = {.vms = member_task_vms(task->members), .regions = task->regions};
-	g_autoptr(GPtrArray) feeders = feed_choose(&all, own->name, own->data_centre);
-	g_autoptr(GPtrArray) backups = feed_backups(&all, own->name, own->data_centre);
+	g_autoptr(GPtrArray) feeders = feed_choose_feeders(&all, own->name, own->data_centre);
+	g_autoptr(GPtrArray) backups = feed_choose_backups(&all, own->name, own->data_centre);
 
 	task->sights = feed_is_used(&all, own->data_centre);
 	set_waits(task, task->sights && !feeders->len);
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -365,7 +365,7 @@
 	}
 	for (guint i = 0; i < vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(vms, i);
-		g_autoptr(GPtrArray) chosen = feed_choose(&all, vm->name, vm->data_centre);
+		g_autoptr(GPtrArray) chosen = feed_choose_feeders(&all, vm->name, vm->data_centre);
 
 		watchers[g_str_equal(vm->data_centre, "there")] += chosen->len == 0;
 		if (chosen->len)
@@ -385,7 +385,7 @@
 	g_autoptr(GHashTable) regions = g_hash_table_new(g_str_hash, g_str_equal);
 	const feed_vms_t all_few = {.vms = few, .regions = regions};
 	const feed_vms_t all_many = {.vms = many, .regions = regions};
-	GPtrArray *chosen = feed_choose(&all_few, "vm-1", "here");
+	GPtrArray *chosen = feed_choose_feeders(&all_few, "vm-1", "here");
 	GHashTable *loads = g_hash_table_new(g_str_hash, g_str_equal);
 	int watchers = 0;
 
@@ -395,7 +395,8 @@
 	for (guint i = 0; i < many->len; i++) {
 		vm_t *first;
 
-		chosen = feed_choose(&all_many, ((vm_t *)g_ptr_array_index(many, i))->name, "here");
+		chosen = feed_choose_feeders(&all_many, ((vm_t *)g_ptr_array_index(many, i))->name,
+					     "here");
 		watchers += chosen->len == 0;
 		if (chosen->len) {
 			first = g_ptr_array_index(chosen, 0);
@@ -409,7 +410,7 @@
 	}
 	assert_int_equal(watchers, 4);
 	assert_int_equal(g_hash_table_size(loads), 4);
-	chosen = feed_choose(&all_many, "vm-1", "elsewhere");
+	chosen = feed_choose_feeders(&all_many, "vm-1", "elsewhere");
 	assert_int_equal(chosen->len, 0);
 	g_ptr_array_unref(chosen);
 	g_hash_table_unref(loads);
@@ -424,12 +425,12 @@
 static void test_feed_sizes(void **state)
 {
 	(void)state;
-	assert_true(feed_may_tell(30000, 16, 200));
-	assert_false(feed_may_tell(30000, 16, 14));
-	assert_true(feed_may_tell(300, 16, 14));
-	assert_true(feed_may_tell(24000, 2, 0));
-	assert_false(feed_may_tell(24000, 16, 0));
-	assert_false(feed_may_tell(550000, 0, 1000));
+	assert_true(feed_sends_whole(30000, 16, 200));
+	assert_false(feed_sends_whole(30000, 16, 14));
+	assert_true(feed_sends_whole(300, 16, 14));
+	assert_true(feed_sends_whole(24000, 2, 0));
+	assert_false(feed_sends_whole(24000, 16, 0));
+	assert_false(feed_sends_whole(550000, 0, 1000));
 }
 
 /*
@@ -605,8 +606,8 @@
 	assert_int_equal(found.type, FEED_OBJECT);
 	assert_string_equal(found.text, "a large object");
 	assert_false(feed_book_find(book, "other", &found));
-	assert_true(feed_pause_us(550000, 14) > 4 * 300000);
-	assert_true(feed_pause_us(550000, 1000) < 20000);
+	assert_true(feed_request_pause_us(550000, 14) > 4 * 300000);
+	assert_true(feed_request_pause_us(550000, 1000) < 20000);
 	feed_book_free(book);
 }
 
