--- a/src/core/feed_book.c
+++ b/src/core/feed_book.c
@@ -4,79 +4,79 @@
  */
 #include "core/feed_book.h"
 
-/** An object. */
-typedef struct page_t {
+/** A cached object. */
+typedef struct cached_object_t {
 	char *text;
-	bool announced; /* it is too large to be told to all */
-} page_t;
+	bool announced; /* too large to be sent to all subscribers: only announced */
+} cached_object_t;
 
-struct feed_book_t {
+struct feed_cache_t {
 	uint32_t kind;
-	GHashTable *objects; /* name to page_t */
-	GHashTable *listing; /* the list being taken in; NULL between lists */
-	bool known;
-	uint64_t era; /* of the store whose list it is */
+	GHashTable *objects; /* name to cached_object_t */
+	GHashTable *listing; /* the list being received; NULL between lists */
+	bool complete;
+	uint64_t era; /* the store era of the list */
 };
 
-static void page_free(void *data)
+static void cached_object_free(void *data)
 {
-	page_t *page = data;
+	cached_object_t *object = data;
 
-	g_free(page->text);
-	g_free(page);
+	g_free(object->text);
+	g_free(object);
 }
 
-static GHashTable *pages_new(void)
+static GHashTable *objects_new(void)
 {
-	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, page_free);
+	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, cached_object_free);
 }
 
 static void put(GHashTable *objects, const feed_message_t *message)
 {
-	page_t *page = g_new(page_t, 1);
+	cached_object_t *object = g_new(cached_object_t, 1);
 
-	*page = (page_t){.text = g_strdup(message->text),
-			 .announced = message->type == FEED_CHANGED};
-	g_hash_table_insert(objects, g_strdup(message->name), page);
+	*object = (cached_object_t){.text = g_strdup(message->text),
+				    .announced = message->type == FEED_CHANGED};
+	g_hash_table_insert(objects, g_strdup(message->name), object);
 }
 
-feed_book_t *feed_book_new(uint32_t kind)
+feed_cache_t *feed_cache_new(uint32_t kind)
 {
-	feed_book_t *book = g_new0(feed_book_t, 1);
+	feed_cache_t *cache = g_new0(feed_cache_t, 1);
 
-	book->kind = kind;
-	book->objects = pages_new();
-	return book;
+	cache->kind = kind;
+	cache->objects = objects_new();
+	return cache;
 }
 
-void feed_book_free(feed_book_t *book)
+void feed_cache_free(feed_cache_t *cache)
 {
-	g_hash_table_unref(book->objects);
-	if (book->listing)
-		g_hash_table_unref(book->listing);
-	g_free(book);
+	g_hash_table_unref(cache->objects);
+	if (cache->listing)
+		g_hash_table_unref(cache->listing);
+	g_free(cache);
 }
 
-static void end_list(feed_book_t *book)
+static void finish_list(feed_cache_t *cache)
 {
-	if (!book->listing)
+	if (!cache->listing)
 		return;
-	g_hash_table_unref(book->objects);
-	book->objects = book->listing;
-	book->listing = NULL;
-	book->known = true;
+	g_hash_table_unref(cache->objects);
+	cache->objects = cache->listing;
+	cache->listing = NULL;
+	cache->complete = true;
 }
 
-void feed_book_take(feed_book_t *book, const feed_message_t *message)
+void feed_cache_apply(feed_cache_t *cache, const feed_message_t *message)
 {
-	GHashTable *objects = book->listing ? book->listing : book->objects;
+	GHashTable *objects = cache->listing ? cache->listing : cache->objects;
 
 	switch (message->type) {
 	case FEED_LIST_BEGIN:
-		if (book->listing)
-			g_hash_table_unref(book->listing);
-		book->listing = pages_new();
-		book->era = message->era;
+		if (cache->listing)
+			g_hash_table_unref(cache->listing);
+		cache->listing = objects_new();
+		cache->era = message->era;
 		break;
 	case FEED_OBJECT:
 	case FEED_CHANGED:
@@ -86,64 +86,64 @@
 		g_hash_table_remove(objects, message->name);
 		break;
 	case FEED_LIST_END:
-		end_list(book);
+		finish_list(cache);
 		break;
 	default:
 		break;
 	}
 }
 
-void feed_book_clear(feed_book_t *book)
+void feed_cache_clear(feed_cache_t *cache)
 {
-	if (book->listing)
-		g_hash_table_unref(book->listing);
-	book->listing = NULL;
-	g_hash_table_remove_all(book->objects);
-	book->known = false;
+	if (cache->listing)
+		g_hash_table_unref(cache->listing);
+	cache->listing = NULL;
+	g_hash_table_remove_all(cache->objects);
+	cache->complete = false;
 }
 
-bool feed_book_is_known(const feed_book_t *book)
+bool feed_cache_is_complete(const feed_cache_t *cache)
 {
-	return book->known;
+	return cache->complete;
 }
 
-void feed_book_write(const feed_book_t *book, GByteArray *out)
+void feed_cache_write(const feed_cache_t *cache, GByteArray *out)
 {
 	GHashTableIter iter;
 	gpointer name, value;
 
-	if (!book->known)
+	if (!cache->complete)
 		return;
 	feed_message_write(
 		out,
-		&(feed_message_t){.type = FEED_LIST_BEGIN, .kind = book->kind, .era = book->era});
-	g_hash_table_iter_init(&iter, book->objects);
+		&(feed_message_t){.type = FEED_LIST_BEGIN, .kind = cache->kind, .era = cache->era});
+	g_hash_table_iter_init(&iter, cache->objects);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		const page_t *page = value;
-		bool announced = page->announced;
+		const cached_object_t *object = value;
+		bool announced = object->announced;
 
 		feed_message_write(out,
 				   &(feed_message_t){.type = announced ? FEED_CHANGED : FEED_OBJECT,
-						     .kind = book->kind,
+						     .kind = cache->kind,
 						     .name = name,
-						     .text = announced ? "" : page->text,
-						     .era = book->era});
+						     .text = announced ? "" : object->text,
+						     .era = cache->era});
 	}
 	feed_message_write(
 		out,
-		&(feed_message_t){.type = FEED_LIST_END, .kind = book->kind, .era = book->era});
+		&(feed_message_t){.type = FEED_LIST_END, .kind = cache->kind, .era = cache->era});
 }
 
-bool feed_book_find(const feed_book_t *book, const char *name, feed_message_t *message)
+bool feed_cache_find(const feed_cache_t *cache, const char *name, feed_message_t *message)
 {
-	const page_t *page = g_hash_table_lookup(book->objects, name);
+	const cached_object_t *object = g_hash_table_lookup(cache->objects, name);
 
-	if (!page)
+	if (!object)
 		return false;
 	*message = (feed_message_t){.type = FEED_OBJECT,
-				    .kind = book->kind,
+				    .kind = cache->kind,
 				    .name = name,
-				    .text = page->text,
-				    .era = book->era};
+				    .text = object->text,
+				    .era = cache->era};
 	return true;
 }
--- a/src/core/feed_book.h
+++ b/src/core/feed_book.h
@@ -1,25 +1,25 @@
 /**
  * @file feed_book.h
- * The objects of one kind as this VM knows them, kept as text to be handed on to subscribers.
+ * A feeder's cache of the objects of one kind, as text, to be sent to new subscribers.
  */
 #ifndef DS_FEED_BOOK_H
 #define DS_FEED_BOOK_H
 
 #include "core/feed_message.h"
 
-typedef struct feed_book_t feed_book_t;
+typedef struct feed_cache_t feed_cache_t;
 
-feed_book_t *feed_book_new(uint32_t kind);
-void feed_book_free(feed_book_t *book);
-/** Take in a message about this kind of objects. */
-void feed_book_take(feed_book_t *book, const feed_message_t *message);
-/** Forget everything. */
-void feed_book_clear(feed_book_t *book);
-/** Whether a whole list was taken in. */
-bool feed_book_is_known(const feed_book_t *book);
-/** The whole object @p name as a message, which borrows; false when there is none. */
-bool feed_book_find(const feed_book_t *book, const char *name, feed_message_t *message);
-/** Append the whole list as messages; nothing before it is known. */
-void feed_book_write(const feed_book_t *book, GByteArray *out);
+feed_cache_t *feed_cache_new(uint32_t kind);
+void feed_cache_free(feed_cache_t *cache);
+/** Apply a message about this kind of objects. */
+void feed_cache_apply(feed_cache_t *cache, const feed_message_t *message);
+/** Remove all objects; the list is incomplete from then on. */
+void feed_cache_clear(feed_cache_t *cache);
+/** Whether a whole list was received. */
+bool feed_cache_is_complete(const feed_cache_t *cache);
+/** Get the object @p name, whole, as a message that borrows its texts; false when there is none. */
+bool feed_cache_find(const feed_cache_t *cache, const char *name, feed_message_t *message);
+/** Append the whole list as messages; nothing while the list is incomplete. */
+void feed_cache_write(const feed_cache_t *cache, GByteArray *out);
 
 #endif
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -18,7 +18,7 @@
 	uint32_t link_mbps;
 	GQueue asked; /* asked_t */
 	loop_timer_t asked_timer;
-	feed_book_t **books; /* by kind */
+	feed_cache_t **books; /* by kind */
 	uint32_t kinds;
 	GPtrArray *subscribers; /* subscriber_t */
 	GByteArray *frame;	/* being written */
@@ -98,7 +98,7 @@
 
 	if (!asked)
 		return;
-	if (feed_book_find(server->books[asked->kind], asked->name, &message)) {
+	if (feed_cache_find(server->books[asked->kind], asked->name, &message)) {
 		g_byte_array_set_size(server->frame, 0);
 		feed_message_write(server->frame, &message);
 		sock_write(asked->subscriber->sock, server->frame->data, server->frame->len);
@@ -194,7 +194,7 @@
 		feed_message_write(server->frame, &news);
 	/* One that can't be relied on is left at once; its lists would only hold up its link. */
 	for (uint32_t kind = 0; kind < server->kinds && !(greeted && news.away); kind++)
-		feed_book_write(server->books[kind], server->frame);
+		feed_cache_write(server->books[kind], server->frame);
 	sock_write(sock, server->frame->data, server->frame->len);
 }
 
@@ -209,9 +209,9 @@
 	server->ops = ops;
 	server->ctx = ctx;
 	server->kinds = kinds;
-	server->books = g_new0(feed_book_t *, kinds);
+	server->books = g_new0(feed_cache_t *, kinds);
 	for (uint32_t kind = 0; kind < kinds; kind++)
-		server->books[kind] = feed_book_new(kind);
+		server->books[kind] = feed_cache_new(kind);
 	server->subscribers = g_ptr_array_new();
 	server->frame = g_byte_array_new();
 	if (listener_new(loop, address, port, on_accepted, server))
@@ -227,7 +227,7 @@
 	feed_message_t told = *message;
 
 	if (message->type < FEED_NEWS && message->kind < server->kinds)
-		feed_book_take(server->books[message->kind], message);
+		feed_cache_apply(server->books[message->kind], message);
 	if (message->type == FEED_CHANGED)
 		told.text = "";
 	hand_on(server, NULL, &told);
@@ -246,5 +246,5 @@
 void feed_server_clear(feed_server_t *server)
 {
 	for (uint32_t kind = 0; kind < server->kinds; kind++)
-		feed_book_clear(server->books[kind]);
+		feed_cache_clear(server->books[kind]);
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -9,7 +9,7 @@
 	'others are put beside a suspect|src/core/placement.c|s/define COMPANY_US 150000/define COMPANY_US 50000/'
 	'a part is hedged to where a suspect is|src/core/part.c|s/!searcher \|\| searcher->probes\)/!searcher)/'
 	'announced objects that the store does not return are not requested from the feeder|src/core/hearing.c|s/if \(sync->feed\)\n\t\tsync->ops->request_announced/if (0)\n\t\tsync->ops->request_announced/'
-	'an announced object is told to all|src/core/feed_book.c|s/announced \? "" : page->text/page->text/'
+	'a new subscriber is sent announced objects whole|src/core/feed_book.c|s/announced \? "" : object->text/object->text/'
 	'a call to a failing store times out only after the wait of a watch|src/core/hearing.c|s/brief = list \|\| sync->failing \|\| kind->failures;/brief = list;/'
 	'postponed kinds are not requested after the store recovers|src/core/hearing.c|s/if \(kind->postponed \|\|/if (0 \&\& (0 ||/; s/kind != answered\)\)\n/kind != answered)))\n/'
 	'calls lost while the store timed out are not repeated|src/core/hearing.c|s/kind->pending \&\& \(sync->timed_out \|\| !kind->config.frequent\)/0/'
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -541,23 +541,23 @@
 /* What a subscriber reads is what was told, however the bytes arrive; garbage is found out. */
 static void test_feed(void **state)
 {
-	feed_book_t *book = feed_book_new(1);
+	feed_cache_t *book = feed_cache_new(1);
 	GByteArray *bytes = g_byte_array_new();
 	GString *read = g_string_new(NULL);
 	size_t at = 0, used = 0;
 
 	(void)state;
-	feed_book_take(book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "early"});
-	feed_book_write(book, bytes);
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "early"});
+	feed_cache_write(book, bytes);
 	assert_int_equal(bytes->len, 0);
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1, .era = 2});
-	feed_book_take(book,
-		       &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "a", .text = "x"});
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
-	feed_book_take(book,
-		       &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "b", .text = "y"});
-	feed_book_take(book, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
-	feed_book_write(book, bytes);
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1, .era = 2});
+	feed_cache_apply(
+		book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "a", .text = "x"});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
+	feed_cache_apply(
+		book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "b", .text = "y"});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
+	feed_cache_write(book, bytes);
 	for (guint have = 0; have <= bytes->len; have++) {
 		framing_t got =
 			feed_message_read(bytes->data + at, have - at, &used, write_down, read);
@@ -573,9 +573,9 @@
 	assert_int_equal(
 		feed_message_read((const uint8_t *)"\0\0\0\2\x92\x01", 6, &used, write_down, read),
 		FRAMING_BAD);
-	feed_book_clear(book);
-	assert_false(feed_book_is_known(book));
-	feed_book_free(book);
+	feed_cache_clear(book);
+	assert_false(feed_cache_is_complete(book));
+	feed_cache_free(book);
 	g_byte_array_unref(bytes);
 	g_string_free(read, TRUE);
 }
@@ -584,31 +584,31 @@
  * it. */
 static void test_announced_object_is_not_kept(void **state)
 {
-	feed_book_t *book = feed_book_new(1);
+	feed_cache_t *book = feed_cache_new(1);
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
 	g_autoptr(GString) read = g_string_new(NULL);
 	feed_message_t found;
 
 	(void)state;
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
-	feed_book_take(book, &(feed_message_t){.type = FEED_CHANGED,
-					       .kind = 1,
-					       .name = "main",
-					       .text = "a large object"});
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
-	feed_book_write(book, bytes);
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_CHANGED,
+						 .kind = 1,
+						 .name = "main",
+						 .text = "a large object"});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
+	feed_cache_write(book, bytes);
 	for (size_t at = 0, used = 0; at < bytes->len; at += used)
 		assert_int_equal(feed_message_read(bytes->data + at, bytes->len - at, &used,
 						   write_down, read),
 				 FRAMING_ONE);
 	assert_string_equal(read->str, "0 1   0;2 1 main  0;4 1   0;");
-	assert_true(feed_book_find(book, "main", &found));
+	assert_true(feed_cache_find(book, "main", &found));
 	assert_int_equal(found.type, FEED_OBJECT);
 	assert_string_equal(found.text, "a large object");
-	assert_false(feed_book_find(book, "other", &found));
+	assert_false(feed_cache_find(book, "other", &found));
 	assert_true(feed_request_pause_us(550000, 14) > 4 * 300000);
 	assert_true(feed_request_pause_us(550000, 1000) < 20000);
-	feed_book_free(book);
+	feed_cache_free(book);
 }
 
 /* Whatever a deployment asks, a VM that is fed by one that is cut off from the store reads the
