--- a/src/core/feed_timing.h
+++ b/src/core/feed_timing.h
@@ -1,19 +1,21 @@
 /**
  * @file feed_timing.h
- * How long a call to the store may take, a watch of it may wait and a feed may be old, by what the
- * deployment asks.
+ * Computes the time-outs of calls to the store, the waits of its watches and the age limits of
+ * feeds from the bounds of the deployment.
  *
- * A change must be in force everywhere a given time after the store has accepted it, on each VM
- * whose connections were sound for a while. A call that was swallowed, by a connection that went
- * silent or by a store that did, shows that only when it has been waited for in vain; and a VM that
- * is fed can't see that its feeder is cut off from the store. So all times follow from the bounds:
+ * A change must be in force everywhere within a given time (apply time) after the store has
+ * accepted it, on each VM whose connections have worked for a while (settle time). A call that gets
+ * no reply, because its connection or the store stopped responding, is noticed only when it times
+ * out; and a VM that is fed can't see that its feeder is cut off from the store. So all times
+ * follow from these bounds:
  *
- * - settle time >= a watch in vain + the first try after it + two answers (of the kind that is
- *   probed, then of the others)
- * - settle time >= a probe in vain + the longest pause between two + two answers
- * - settle time >= the longest pause between two looks + a look in vain + two answers
- * - the time within which a change is due >= the oldest news of a feed + one other feeder that does
- *   not speak + an answer of the store
+ * - settle time >= a watch that times out + the first retry after it + two replies (for the probed
+ *   kind, then for the others)
+ * - settle time >= a probe that times out + the longest pause between two probes + two replies
+ * - settle time >= the longest pause between two store checks + a check that times out
+ *   + two replies
+ * - apply time >= the age limit of a feed + the time-out of one other feeder that sends nothing +
+ *   a reply of the store
  */
 #ifndef DS_FEED_TIMING_H
 #define DS_FEED_TIMING_H
@@ -21,54 +23,54 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Time beyond its own that a watch is given for the store's answer. */
+/** Time that a watch is given for the store's reply, in addition to its wait. */
 #define FEED_WATCH_SLACK_MS 700
-/** An answer of a sound store, with the connection that it may need. */
-#define FEED_ANSWER_MS 300
-/** A kept connection that was idle for longer is not used again: it may have gone silent. */
-#define FEED_IDLE_MS 50
-/** Until the first try after a call that failed; later pauses are longer. */
-#define FEED_RETRY_FIRST_MS 200
-/** For a feeder's first word to a new subscriber. */
-#define FEED_TRIAL_MS 250
+/** Longest reply time of a healthy store, including a new connection. */
+#define FEED_REPLY_MAX_MS 300
+/** A connection that was idle for longer is not reused: it may be dead without notice. */
+#define FEED_IDLE_MAX_MS 50
+/** Delay of the first retry after a failed call; later delays are longer. */
+#define FEED_RETRY_MIN_MS 200
+/** Time-out of a feeder's first status to a new subscriber. */
+#define FEED_FIRST_STATUS_TIMEOUT_MS 250
 
 typedef struct feed_timing_t {
-	uint32_t watch_ms;	      /**< that a watch waits for a change */
+	uint32_t watch_ms;	      /**< how long a watch waits for a change */
 	uint32_t feeder_watch_ms;     /**< the same, on VMs that feed others */
 	uint32_t evacuation_watch_ms; /**< the same, for evacuations */
-	uint64_t probe_us;	     /**< after which a call that is answered at once is given up */
-	uint64_t retry_most_us;	     /**< the longest pause between two calls that fail */
-	uint64_t age_most_us;	     /**< a feed whose news is older is left */
-	uint64_t backup_age_most_us; /**< the same of a backup, which may wait as long as any watch
-				      * that hears the store */
-	uint64_t look_least_us; /**< from one look at the store to the next, while the feeder */
-	uint64_t look_most_us;	/**< can't hear it */
+	uint64_t probe_timeout_us;    /**< time-out of a call that is answered at once */
+	uint64_t retry_max_us;	      /**< the longest pause between retries */
+	uint64_t age_max_us;	      /**< age limit: a feed with older data is left */
+	uint64_t backup_age_max_us; /**< the same for a backup, whose watch may wait as long as that
+				     * of any VM that watches the store */
+	uint64_t check_pause_min_us; /**< shortest and longest pause between store checks, */
+	uint64_t check_pause_max_us; /**< while the feeder is cut off from the store */
 } feed_timing_t;
 
 /**
- * @param apply_ms within which a change must be in force
- * @param settle_ms after which a VM whose connections were harmed must keep to that again
- * @param evacuate_ms within which an evacuation must be in force; 0: there are none
+ * @param apply_ms time within which a change must be in force
+ * @param settle_ms time after which a VM whose connections failed must meet apply_ms again
+ * @param evacuate_ms time within which an evacuation must be in force; 0: there are none
  */
 feed_timing_t feed_timing_for(uint32_t apply_ms, uint32_t settle_ms, uint32_t evacuate_ms);
 
-/** What a fed VM does after its feeder's news. */
-typedef enum feed_verdict_t {
+/** What a fed VM does after a status of its feeder. */
+typedef enum feed_action_t {
 	FEED_KEEP,
-	FEED_DOUBT, /**< kept; but the VM looks now and then whether it reaches the store itself */
+	FEED_KEEP_AND_CHECK, /**< keep it, but check regularly whether this VM reaches the store */
 	FEED_LEAVE,
-} feed_verdict_t;
+} feed_action_t;
 
 /**
- * Judge a feeder by its news.
- * @param backup whether it was not chosen to feed this VM
- * @param fed whether it has told all that it knows, and is relied on already
- * @param away whether it can't hear the store
- * @param age_us since it last heard the store
+ * Decide whether to use a feeder, by its status.
+ * @param backup whether it is a backup feeder
+ * @param in_use whether it is the current feed and has sent its whole lists
+ * @param unreliable whether it reports that it can't be relied on as a feeder
+ * @param age_us the age of its data
  */
-feed_verdict_t feed_judge(const feed_timing_t *timing, bool backup, bool fed, bool away,
-			  uint64_t age_us);
-/** How old the news of a feeder may grow. */
-uint64_t feed_age_most_us(const feed_timing_t *timing, bool backup);
+feed_action_t feed_evaluate(const feed_timing_t *timing, bool backup, bool in_use, bool unreliable,
+			    uint64_t age_us);
+/** The age limit of the data of a feeder. */
+uint64_t feed_age_max_us(const feed_timing_t *timing, bool backup);
 
 #endif
--- a/src/core/hearing.c
+++ b/src/core/hearing.c
@@ -6,8 +6,8 @@
 
 /* With this wait, the store answers a watch at once, also when nothing has changed. */
 #define PROBE_WAIT_MS 1
-#define RETRY_MIN_US (FEED_RETRY_FIRST_MS * 1000)
-#define REPLY_MAX_US (FEED_ANSWER_MS * 1000)
+#define RETRY_MIN_US (FEED_RETRY_MIN_MS * 1000)
+#define REPLY_MAX_US (FEED_REPLY_MAX_MS * 1000)
 
 uint64_t store_sync_random_us(store_sync_t *sync, uint64_t min_us, uint64_t max_us)
 {
@@ -51,7 +51,7 @@
 	store_sync_t *sync = kind->sync;
 	const feed_timing_t *timing = &sync->timing;
 	bool list = kind->follow.lists, brief = list || sync->failing || kind->failures;
-	store_sync_call_t call = {.list = list, .timeout_us = timing->probe_us};
+	store_sync_call_t call = {.list = list, .timeout_us = timing->probe_timeout_us};
 
 	if (!brief)
 		call.timeout_us = (kind->config.wait_ms + FEED_WATCH_SLACK_MS) * 1000ull;
@@ -119,7 +119,7 @@
 {
 	uint64_t max_us = RETRY_MIN_US << MIN(failures - 1, 8);
 
-	max_us = MIN(max_us, sync->timing.retry_most_us);
+	max_us = MIN(max_us, sync->timing.retry_max_us);
 	return store_sync_random_us(sync, max_us / 2, max_us);
 }
 
@@ -324,7 +324,7 @@
 store_sync_status_t store_sync_status(const store_sync_t *sync, uint64_t now_us)
 {
 	uint64_t age_us = store_sync_age_us(sync, now_us);
-	bool old = age_us > feed_age_most_us(&sync->timing, !sync->is_feeder);
+	bool old = age_us > feed_age_max_us(&sync->timing, !sync->is_feeder);
 	bool fed = sync->feed && !sync->unreachable;
 
 	return (store_sync_status_t){.unreliable = sync->feed || sync->unreachable || old ||
--- a/src/core/hearing_links.c
+++ b/src/core/hearing_links.c
@@ -23,7 +23,7 @@
 /* Maximum delay of a timer. */
 #define TIMER_DELAY_MAX_US 50000
 
-#define CANDIDATE_TIMEOUT_US (FEED_TRIAL_MS * 1000)
+#define CANDIDATE_TIMEOUT_US (FEED_FIRST_STATUS_TIMEOUT_MS * 1000)
 
 /* ---- links ---- */
 
@@ -131,7 +131,7 @@
 static bool is_near_age_max(const store_sync_t *sync, uint64_t now_us)
 {
 	return !store_sync_is_set(&sync->start_timer) &&
-	       store_sync_age_us(sync, now_us) > sync->timing.age_most_us + TIMER_DELAY_MAX_US;
+	       store_sync_age_us(sync, now_us) > sync->timing.age_max_us + TIMER_DELAY_MAX_US;
 }
 
 static bool try_feeder(store_sync_t *sync, uint64_t now_us)
@@ -216,7 +216,7 @@
 	if (sync->checking)
 		return;
 	sync->checking = true;
-	sync->ops->check_store(sync->ctx, sync->timing.probe_us);
+	sync->ops->check_store(sync->ctx, sync->timing.probe_timeout_us);
 }
 
 /*
@@ -234,8 +234,8 @@
 static void check_store_later(store_sync_t *sync, uint64_t now_us)
 {
 	store_sync_set_timer(sync, &sync->check_timer,
-			     now_us + store_sync_random_us(sync, sync->timing.look_least_us,
-							   sync->timing.look_most_us));
+			     now_us + store_sync_random_us(sync, sync->timing.check_pause_min_us,
+							   sync->timing.check_pause_max_us));
 }
 
 void store_sync_check_ended(store_sync_t *sync, bool reached, uint64_t now_us)
@@ -259,11 +259,11 @@
  * a second. */
 static uint64_t first_check_us(store_sync_t *sync, uint64_t age_us)
 {
-	uint64_t max_us = sync->timing.age_most_us;
+	uint64_t max_us = sync->timing.age_max_us;
 	uint64_t used_us = age_us + FIND_FEEDER_US;
 	uint64_t left_us = max_us > used_us ? max_us - used_us : 0;
 
-	return store_sync_random_us(sync, 0, MIN(left_us, sync->timing.look_most_us));
+	return store_sync_random_us(sync, 0, MIN(left_us, sync->timing.check_pause_max_us));
 }
 
 /* The feeder in use does not reach the store. */
@@ -313,7 +313,7 @@
 {
 	sync->feed_last_answer_us = link->last_answer_us;
 	store_sync_set_timer(sync, &sync->feed_stale_timer,
-			     link->last_answer_us + feed_age_most_us(&sync->timing, link->backup));
+			     link->last_answer_us + feed_age_max_us(&sync->timing, link->backup));
 }
 
 /* From here on the feed replaces this VM's own watches. */
@@ -351,7 +351,7 @@
 			       const store_sync_status_t *status, uint64_t now_us)
 {
 	store_sync_cancel_timer(sync, &sync->candidate_timer);
-	if (feed_judge(&sync->timing, link->backup, false, status->unreliable, status->age_us) ==
+	if (feed_evaluate(&sync->timing, link->backup, false, status->unreliable, status->age_us) ==
 	    FEED_KEEP) {
 		link->status_ok = true;
 		switch_if_complete(sync, link, now_us);
@@ -367,15 +367,15 @@
 static void evaluate_feed(store_sync_t *sync, store_sync_link_t *link,
 			  const store_sync_status_t *status, uint64_t now_us)
 {
-	feed_verdict_t verdict =
-		feed_judge(&sync->timing, link->backup, true, status->unreliable, status->age_us);
+	feed_action_t action = feed_evaluate(&sync->timing, link->backup, true, status->unreliable,
+					     status->age_us);
 
-	if (verdict == FEED_LEAVE) {
+	if (action == FEED_LEAVE) {
 		on_feed_failed(sync, status->unreliable ? "store-away" : "news-old", now_us);
 		return;
 	}
 	record_status(sync, link);
-	if (verdict == FEED_KEEP) {
+	if (action == FEED_KEEP) {
 		on_feeder_recovered(sync);
 		return;
 	}
--- a/src/tasks/platform_task.c
+++ b/src/tasks/platform_task.c
@@ -218,7 +218,7 @@
 			       .path = call->path,
 			       .headers = call->body ? "Content-Type: application/json\r\n" : NULL,
 			       .kept_header = STORE_ERA_HEADER,
-			       .idle_most_us = FEED_IDLE_MS * 1000,
+			       .idle_most_us = FEED_IDLE_MAX_MS * 1000,
 			       .body = call->body,
 			       .body_bytes = call->body ? strlen(call->body) : 0,
 			       .finished = call_finished,
--- a/tests/hearing_test.c
+++ b/tests/hearing_test.c
@@ -359,7 +359,7 @@
 
 	node->asked++;
 	on_cancel(node, kind);
-	call->dead &= sim->now_us <= call->answered_us + FEED_IDLE_MS * MS_US;
+	call->dead &= sim->now_us <= call->answered_us + FEED_IDLE_MAX_MS * MS_US;
 	call->serial = ++sim->serial;
 	call->asked = *asked;
 	call->waits = false;
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -444,19 +444,19 @@
 	const feed_timing_t timing = feed_timing_for(6000, 8000, 0);
 
 	(void)state;
-	assert_int_equal(feed_judge(&timing, false, true, false, 100000), FEED_KEEP);
-	assert_int_equal(feed_judge(&timing, false, true, true, 100000), FEED_DOUBT);
-	assert_int_equal(feed_judge(&timing, false, true, true, timing.age_most_us + 1),
-			 FEED_DOUBT);
-	assert_int_equal(feed_judge(&timing, false, true, false, timing.age_most_us + 1),
+	assert_int_equal(feed_evaluate(&timing, false, true, false, 100000), FEED_KEEP);
+	assert_int_equal(feed_evaluate(&timing, false, true, true, 100000), FEED_KEEP_AND_CHECK);
+	assert_int_equal(feed_evaluate(&timing, false, true, true, timing.age_max_us + 1),
+			 FEED_KEEP_AND_CHECK);
+	assert_int_equal(feed_evaluate(&timing, false, true, false, timing.age_max_us + 1),
 			 FEED_LEAVE);
-	assert_int_equal(feed_judge(&timing, false, false, true, 100000), FEED_LEAVE);
-	assert_int_equal(feed_judge(&timing, false, false, false, 100000), FEED_KEEP);
+	assert_int_equal(feed_evaluate(&timing, false, false, true, 100000), FEED_LEAVE);
+	assert_int_equal(feed_evaluate(&timing, false, false, false, 100000), FEED_KEEP);
 	for (uint32_t apply_ms = 1000; apply_ms <= 60000; apply_ms += 500) {
 		const feed_timing_t any = feed_timing_for(apply_ms, 8000, 0);
 
-		assert_true(any.look_most_us <= apply_ms * 1000ull);
-		assert_true(any.look_least_us < any.look_most_us);
+		assert_true(any.check_pause_max_us <= apply_ms * 1000ull);
+		assert_true(any.check_pause_min_us < any.check_pause_max_us);
 	}
 }
 
@@ -625,10 +625,10 @@
 			uint32_t sound_ms =
 				timing.feeder_watch_ms + grouped_ms + news_ms + answer_ms;
 
-			assert_true(timing.age_most_us < apply_ms * 1000ull);
+			assert_true(timing.age_max_us < apply_ms * 1000ull);
 			assert_true(timing.watch_ms + FEED_WATCH_SLACK_MS < settle_ms);
 			assert_true(timing.feeder_watch_ms <= timing.watch_ms);
-			assert_true(sound_ms * 1000ull <= timing.age_most_us);
+			assert_true(sound_ms * 1000ull <= timing.age_max_us);
 		}
 	}
 }
