--- a/src/core/feed_book.c
+++ b/src/core/feed_book.c
@@ -36,7 +36,7 @@
 	cached_object_t *object = g_new(cached_object_t, 1);
 
 	*object = (cached_object_t){.text = g_strdup(message->text),
-				    .announced = message->type == FEED_CHANGED};
+				    .announced = message->type == FEED_ANNOUNCED};
 	g_hash_table_insert(objects, g_strdup(message->name), object);
 }
 
@@ -79,7 +79,7 @@
 		cache->era = message->era;
 		break;
 	case FEED_OBJECT:
-	case FEED_CHANGED:
+	case FEED_ANNOUNCED:
 		put(objects, message);
 		break;
 	case FEED_REMOVED:
@@ -122,12 +122,12 @@
 		const cached_object_t *object = value;
 		bool announced = object->announced;
 
-		feed_message_write(out,
-				   &(feed_message_t){.type = announced ? FEED_CHANGED : FEED_OBJECT,
-						     .kind = cache->kind,
-						     .name = name,
-						     .text = announced ? "" : object->text,
-						     .era = cache->era});
+		feed_message_write(
+			out, &(feed_message_t){.type = announced ? FEED_ANNOUNCED : FEED_OBJECT,
+					       .kind = cache->kind,
+					       .name = name,
+					       .text = announced ? "" : object->text,
+					       .era = cache->era});
 	}
 	feed_message_write(
 		out,
--- a/src/core/feed_message.c
+++ b/src/core/feed_message.c
@@ -9,8 +9,8 @@
 #include <string.h>
 
 #define FIELDS 7
-/* Daemons of an earlier version do not know the store's era. */
-#define FIELDS_LEAST 6
+/* Daemons of an earlier version do not send the store era. */
+#define FIELDS_MIN 6
 
 static void pack_text(msgpack_packer *packer, const char *text)
 {
@@ -33,7 +33,7 @@
 	pack_text(&packer, message->name);
 	pack_text(&packer, message->text);
 	msgpack_pack_uint64(&packer, message->age_us);
-	msgpack_pack_uint8(&packer, message->away);
+	msgpack_pack_uint8(&packer, message->unreliable);
 	msgpack_pack_uint64(&packer, message->era);
 	framing_append(out, buffer.data, buffer.size);
 	msgpack_sbuffer_destroy(&buffer);
@@ -51,9 +51,9 @@
 	return text->size ? g_strndup(text->ptr, text->size) : g_strdup("");
 }
 
-/* The texts are copied: msgpack's are not ended by a NUL. */
-static bool take_fields(const msgpack_object *fields, uint32_t count, feed_message_f take,
-			void *ctx)
+/* Copies the texts: those of msgpack have no terminating NUL. */
+static bool decode_fields(const msgpack_object *fields, uint32_t count, feed_message_f handle,
+			  void *ctx)
 {
 	g_autofree char *name = NULL;
 	g_autofree char *text = NULL;
@@ -71,31 +71,31 @@
 				   .name = name,
 				   .text = text,
 				   .age_us = fields[4].via.u64,
-				   .away = fields[5].via.u64 != 0,
+				   .unreliable = fields[5].via.u64 != 0,
 				   .era = count >= FIELDS ? fields[6].via.u64 : 0};
-	take(ctx, &message);
+	handle(ctx, &message);
 	return true;
 }
 
-static bool take_payload(framing_payload_t payload, feed_message_f take, void *ctx)
+static bool decode_payload(framing_payload_t payload, feed_message_f handle, void *ctx)
 {
 	msgpack_unpacked unpacked;
 	const msgpack_object_array *array = msgpack_array_read(&unpacked, payload);
-	bool taken = array && array->size >= FIELDS_LEAST &&
-		     take_fields(array->ptr, array->size, take, ctx);
+	bool valid = array && array->size >= FIELDS_MIN &&
+		     decode_fields(array->ptr, array->size, handle, ctx);
 
 	msgpack_unpacked_destroy(&unpacked);
-	return taken;
+	return valid;
 }
 
-framing_t feed_message_read(const uint8_t *data, size_t bytes, size_t *used, feed_message_f take,
+framing_t feed_message_read(const uint8_t *data, size_t bytes, size_t *used, feed_message_f handle,
 			    void *ctx)
 {
 	framing_payload_t payload;
-	framing_t found = framing_split(data, bytes, FEED_FRAME_MOST_BYTES, &payload);
+	framing_t found = framing_split(data, bytes, FEED_FRAME_MAX_BYTES, &payload);
 
 	if (found != FRAMING_ONE)
 		return found;
 	*used = FRAMING_LENGTH_BYTES + payload.bytes;
-	return take_payload(payload, take, ctx) ? FRAMING_ONE : FRAMING_BAD;
+	return decode_payload(payload, handle, ctx) ? FRAMING_ONE : FRAMING_BAD;
 }
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -142,11 +142,11 @@
 	subscriber_t *subscriber = ctx;
 	feed_server_t *server = subscriber->server;
 
-	if (message->type == FEED_ASK) {
+	if (message->type == FEED_REQUEST) {
 		take_asked(subscriber, message);
 		return;
 	}
-	if (message->type != FEED_SIGHTING) {
+	if (message->type != FEED_OBSERVATION) {
 		g_info("event=feed-message-ignored type=%d reason=not-for-feeders", message->type);
 		return;
 	}
@@ -193,7 +193,7 @@
 	if (greeted)
 		feed_message_write(server->frame, &news);
 	/* One that can't be relied on is left at once; its lists would only hold up its link. */
-	for (uint32_t kind = 0; kind < server->kinds && !(greeted && news.away); kind++)
+	for (uint32_t kind = 0; kind < server->kinds && !(greeted && news.unreliable); kind++)
 		feed_cache_write(server->books[kind], server->frame);
 	sock_write(sock, server->frame->data, server->frame->len);
 }
@@ -226,9 +226,9 @@
 {
 	feed_message_t told = *message;
 
-	if (message->type < FEED_NEWS && message->kind < server->kinds)
+	if (message->type < FEED_STATUS && message->kind < server->kinds)
 		feed_cache_apply(server->books[message->kind], message);
-	if (message->type == FEED_CHANGED)
+	if (message->type == FEED_ANNOUNCED)
 		told.text = "";
 	hand_on(server, NULL, &told);
 }
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -118,7 +118,7 @@
 	fits = text && feed_sends_whole(strlen(text), feed_server_subscribers(task->server),
 					member_task_own(task->members)->link_mbps);
 	if (type == FEED_OBJECT && text && !fits)
-		type = FEED_CHANGED;
+		type = FEED_ANNOUNCED;
 	if (type == FEED_REMOVED && !fits)
 		g_clear_pointer(&text, free);
 	message = (feed_message_t){.type = type,
@@ -278,7 +278,7 @@
 void supply_task_tell(supply_task_t *task, const sighting_t *sighting)
 {
 	char born[24];
-	const feed_message_t message = {.type = FEED_SIGHTING,
+	const feed_message_t message = {.type = FEED_OBSERVATION,
 					.kind = sighting->type,
 					.name = sighting->searcher,
 					.text = born,
@@ -307,7 +307,7 @@
 		give_list_end(kind);
 		store_sync_link_listed(task->hearing, link, kind->kind, loop_now_us());
 		break;
-	case FEED_CHANGED:
+	case FEED_ANNOUNCED:
 		g_message("event=feed-announced kind=%s name=%s outcome=read-from-store",
 			  store_kind_name(kind->kind), message->name);
 		g_hash_table_insert(kind->announced, g_strdup(message->name),
@@ -329,8 +329,9 @@
 
 static void take_news(supply_link_t *own, const feed_message_t *message)
 {
-	const store_sync_status_t news = {
-		.unreliable = message->away, .age_us = message->age_us, .from = message->name};
+	const store_sync_status_t news = {.unreliable = message->unreliable,
+					  .age_us = message->age_us,
+					  .from = message->name};
 
 	store_sync_link_status(own->task->hearing, own->link, &news, loop_now_us());
 }
@@ -344,12 +345,12 @@
 
 	/* Of a feeder that has not heard yet that the store is another one: its next list will be
 	 * of this one, or its news grow too old. */
-	if (message->type != FEED_SIGHTING &&
+	if (message->type != FEED_OBSERVATION &&
 	    platform_task_take_era(task->platform, message->era) == STORE_ERA_OLDER)
 		return;
-	if (message->type == FEED_NEWS)
+	if (message->type == FEED_STATUS)
 		take_news(own, message);
-	else if (message->type == FEED_SIGHTING)
+	else if (message->type == FEED_OBSERVATION)
 		take_sighting(task, message);
 	else if (message->kind < task->kind_count)
 		take_change(&task->kinds[message->kind], own->link, message);
@@ -408,7 +409,7 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		announced_t *announced = value;
 		const feed_message_t message = {
-			.type = FEED_ASK, .kind = number, .name = name, .text = ""};
+			.type = FEED_REQUEST, .kind = number, .name = name, .text = ""};
 
 		if (announced->asked_us && now_us < announced->asked_us + ASK_AGAIN_US)
 			continue;
@@ -474,11 +475,11 @@
 {
 	const store_sync_status_t news = store_sync_status(task->hearing, loop_now_us());
 
-	return (feed_message_t){.type = FEED_NEWS,
+	return (feed_message_t){.type = FEED_STATUS,
 				.name = news.from,
 				.text = "",
 				.age_us = news.age_us,
-				.away = news.unreliable,
+				.unreliable = news.unreliable,
 				.era = platform_task_era(task->platform)};
 }
 
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -591,7 +591,7 @@
 
 	(void)state;
 	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_CHANGED,
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_ANNOUNCED,
 						 .kind = 1,
 						 .name = "main",
 						 .text = "a large object"});
