--- a/src/core/follow.c
+++ b/src/core/follow.c
@@ -4,47 +4,48 @@
  */
 #include "core/follow.h"
 
-void follow_start(follow_t *follow)
+void list_watch_start(list_watch_t *list_watch)
 {
-	follow->watches = true;
-	follow->lists = true;
+	list_watch->watching = true;
+	list_watch->list_due = true;
 }
 
 /*
- * What was announced is still read. A VM that takes a feed is told first that a large configuration
- * has changed, and a moment later that it now knows all: with its read given up then, it went on
- * with the old version, 7 s after the next was accepted, until the one after.
+ * Announced objects are still read. A VM that switches to a feed first gets the announcement of a
+ * large configuration that has changed, and a moment later the end of the lists. When it dropped
+ * its read then, it kept the old version, 7 s after the next one was accepted, until the one after
+ * that.
  */
-void follow_stop(follow_t *follow)
+void list_watch_stop(list_watch_t *list_watch)
 {
-	follow->watches = false;
-	follow->lists = follow->owed;
+	list_watch->watching = false;
+	list_watch->list_due = list_watch->announced;
 }
 
 /*
- * Whether it watches stays as it is. A VM that reads for an announcement while it still watches by
- * itself must go on watching after that: the feed may end before it is taken.
+ * Does not change whether the VM watches. A VM that reads the list after an announcement while it
+ * still watches the store must watch on afterwards: the feed may end before the VM switches to it.
  */
-void follow_announced(follow_t *follow)
+void list_watch_announced(list_watch_t *list_watch)
 {
-	follow->owed = true;
-	follow->lists = true;
+	list_watch->announced = true;
+	list_watch->list_due = true;
 }
 
-void follow_again(follow_t *follow)
+void list_watch_relist(list_watch_t *list_watch)
 {
-	follow->lists = true;
+	list_watch->list_due = true;
 }
 
-void follow_listed(follow_t *follow)
+void list_watch_listed(list_watch_t *list_watch)
 {
-	follow->lists = false;
-	follow->owed = false;
+	list_watch->list_due = false;
+	list_watch->announced = false;
 }
 
-follow_ask_t follow_next(const follow_t *follow)
+list_watch_request_t list_watch_next(const list_watch_t *list_watch)
 {
-	if (follow->lists)
-		return FOLLOW_LIST;
-	return follow->watches ? FOLLOW_WATCH : FOLLOW_NOTHING;
+	if (list_watch->list_due)
+		return LIST_WATCH_LIST;
+	return list_watch->watching ? LIST_WATCH_WATCH : LIST_WATCH_NOTHING;
 }
--- a/src/core/follow.h
+++ b/src/core/follow.h
@@ -1,37 +1,37 @@
 /**
  * @file follow.h
- * What a VM asks the platform's store next about one kind of objects: its whole list, a watch for
- * changes, or nothing because another VM tells it of them.
+ * Decides a VM's next request to the platform's store for one kind of objects: its whole list, a
+ * watch for changes, or nothing because a feeder relays the changes.
  */
 #ifndef DS_FOLLOW_H
 #define DS_FOLLOW_H
 
 #include <stdbool.h>
 
-typedef enum follow_ask_t {
-	FOLLOW_NOTHING,
-	FOLLOW_LIST,
-	FOLLOW_WATCH,
-} follow_ask_t;
+typedef enum list_watch_request_t {
+	LIST_WATCH_NOTHING,
+	LIST_WATCH_LIST,
+	LIST_WATCH_WATCH,
+} list_watch_request_t;
 
-/** Zero-initialised: nothing is asked yet. */
-typedef struct follow_t {
-	bool watches; /**< changes are heard from the store itself */
-	bool lists;   /**< the list is not read to its end */
-	bool owed;    /**< another VM announced a change that it did not tell: the list must be read
-		       */
-} follow_t;
+/** Zero-initialised: no request is needed yet. */
+typedef struct list_watch_t {
+	bool watching;	/**< changes are watched at the store itself */
+	bool list_due;	/**< the list must be read, or its read is not complete */
+	bool announced; /**< a feeder announced a change without its content: the list must be read
+			 */
+} list_watch_t;
 
-/** Hear the store itself, from a whole list on. */
-void follow_start(follow_t *follow);
-/** Another VM tells of changes from here on. */
-void follow_stop(follow_t *follow);
-/** Another VM says that something has changed, without what. */
-void follow_announced(follow_t *follow);
-/** The history between the list and now is gone. */
-void follow_again(follow_t *follow);
-/** The list was read to its end. */
-void follow_listed(follow_t *follow);
-follow_ask_t follow_next(const follow_t *follow);
+/** Watch the store, starting with its whole list. */
+void list_watch_start(list_watch_t *list_watch);
+/** A feeder relays changes from now on. */
+void list_watch_stop(list_watch_t *list_watch);
+/** A feeder, or another VM, reports a change without its content. */
+void list_watch_announced(list_watch_t *list_watch);
+/** The store no longer has the history since the list: read the list again. */
+void list_watch_relist(list_watch_t *list_watch);
+/** The list was read completely. */
+void list_watch_listed(list_watch_t *list_watch);
+list_watch_request_t list_watch_next(const list_watch_t *list_watch);
 
 #endif
--- a/src/core/hearing.c
+++ b/src/core/hearing.c
@@ -50,7 +50,7 @@
 	sync_kind_t *kind = ctx;
 	store_sync_t *sync = kind->sync;
 	const feed_timing_t *timing = &sync->timing;
-	bool list = kind->follow.lists, brief = list || sync->failing || kind->failures;
+	bool list = kind->list_watch.list_due, brief = list || sync->failing || kind->failures;
 	store_sync_call_t call = {.list = list, .timeout_us = timing->probe_timeout_us};
 
 	if (!brief)
@@ -174,16 +174,16 @@
 	kind->failures = 0;
 	kind->last_answer_us = now_us;
 	if (result == STORE_SYNC_LISTED) {
-		follow_listed(&kind->follow);
+		list_watch_listed(&kind->list_watch);
 		kind->list_read = sync->watches;
 	}
 	if (result == STORE_SYNC_HISTORY_GONE) {
-		follow_again(&kind->follow);
+		list_watch_relist(&kind->list_watch);
 		sync->ops->restart_list(sync->ctx, number);
 	}
 	if (sync->watches)
 		on_store_answered(sync, kind, now_us);
-	if (follow_next(&kind->follow) != FOLLOW_NOTHING)
+	if (list_watch_next(&kind->list_watch) != LIST_WATCH_NOTHING)
 		store_sync_set_timer(
 			sync, &kind->next,
 			now_us + (result == STORE_SYNC_CHANGED ? kind->config.group_us : 0));
@@ -199,7 +199,7 @@
 	for (uint32_t i = 0; i < sync->count; i++) {
 		sync_kind_t *kind = &sync->kinds[i];
 
-		follow_start(&kind->follow);
+		list_watch_start(&kind->list_watch);
 		kind->failures = 0;
 		kind->postponed = sync->unreachable && kind != sync->probe_kind;
 		if (kind->postponed)
@@ -217,11 +217,11 @@
 	for (uint32_t i = 0; i < sync->count; i++) {
 		sync_kind_t *kind = &sync->kinds[i];
 
-		follow_stop(&kind->follow);
+		list_watch_stop(&kind->list_watch);
 		kind->list_read = false;
 		kind->postponed = false;
 		kind->failures = 0;
-		if (follow_next(&kind->follow) == FOLLOW_NOTHING)
+		if (list_watch_next(&kind->list_watch) == LIST_WATCH_NOTHING)
 			drop_call(kind);
 	}
 }
@@ -231,7 +231,7 @@
 	sync_kind_t *kind = &sync->kinds[number];
 
 	/* With a random delay: many VMs receive the announcement at the same moment. */
-	follow_announced(&kind->follow);
+	list_watch_announced(&kind->list_watch);
 	list_after(kind, store_sync_random_us(sync, 0, RETRY_MIN_US), now_us);
 }
 
@@ -239,9 +239,9 @@
 {
 	sync_kind_t *kind = &sync->kinds[number];
 
-	if (sync->watches || !kind->follow.owed)
+	if (sync->watches || !kind->list_watch.announced)
 		return;
-	follow_listed(&kind->follow);
+	list_watch_listed(&kind->list_watch);
 	kind->failures = 0;
 	drop_call(kind);
 }
@@ -250,9 +250,9 @@
 {
 	sync_kind_t *kind = &sync->kinds[number];
 
-	if (kind->follow.owed)
+	if (kind->list_watch.announced)
 		return;
-	follow_announced(&kind->follow);
+	list_watch_announced(&kind->list_watch);
 	list_after(kind, 0, now_us);
 }
 
@@ -267,9 +267,9 @@
 	for (uint32_t i = 0; i < sync->count; i++) {
 		sync_kind_t *kind = &sync->kinds[i];
 
-		if (follow_next(&kind->follow) == FOLLOW_NOTHING)
+		if (list_watch_next(&kind->list_watch) == LIST_WATCH_NOTHING)
 			continue;
-		follow_again(&kind->follow);
+		list_watch_relist(&kind->list_watch);
 		if (kind->postponed)
 			sync->ops->restart_list(sync->ctx, i);
 		else
--- a/src/core/hearing_private.h
+++ b/src/core/hearing_private.h
@@ -15,7 +15,7 @@
 	store_sync_t *sync;
 	uint32_t number;
 	store_sync_kind_t config;
-	follow_t follow;
+	list_watch_t list_watch;
 	bool pending;		 /* a call is pending */
 	bool pending_watch;	 /* the pending call is a watch that waits for a change */
 	bool list_read;		 /* the list was read since this VM began to watch the store */
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -469,17 +469,17 @@
  */
 static void test_announced_before_the_feed_is_taken(void **state)
 {
-	follow_t follow = {0};
+	list_watch_t follow = {0};
 
 	(void)state;
-	follow_start(&follow);
-	follow_listed(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_WATCH);
-	follow_announced(&follow);
-	follow_stop(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
-	follow_listed(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_NOTHING);
+	list_watch_start(&follow);
+	list_watch_listed(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_WATCH);
+	list_watch_announced(&follow);
+	list_watch_stop(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
+	list_watch_listed(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
 }
 
 /*
@@ -489,32 +489,32 @@
  */
 static void test_announced_by_a_feed_that_ends(void **state)
 {
-	follow_t follow = {0};
+	list_watch_t follow = {0};
 
 	(void)state;
-	follow_start(&follow);
-	follow_listed(&follow);
-	follow_announced(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
-	follow_listed(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_WATCH);
+	list_watch_start(&follow);
+	list_watch_listed(&follow);
+	list_watch_announced(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
+	list_watch_listed(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_WATCH);
 }
 
 static void test_follow_ends(void **state)
 {
-	follow_t follow = {0};
+	list_watch_t follow = {0};
 
 	(void)state;
-	assert_int_equal(follow_next(&follow), FOLLOW_NOTHING);
-	follow_start(&follow);
-	follow_stop(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_NOTHING);
-	follow_announced(&follow);
-	follow_listed(&follow);
-	follow_start(&follow);
-	follow_listed(&follow);
-	follow_again(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
+	list_watch_start(&follow);
+	list_watch_stop(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
+	list_watch_announced(&follow);
+	list_watch_listed(&follow);
+	list_watch_start(&follow);
+	list_watch_listed(&follow);
+	list_watch_relist(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
 }
 
 /* A reply that was on its way while the store came back from a copy says what is gone: believed, a
