--- a/src/core/frame.c
+++ b/src/core/frame.c
@@ -15,8 +15,8 @@
 #define FIELDS 7
 #define MEMBER_FIELDS 6
 #define NOTE_FIELDS 3
-#define ITEMS_MOST 256
-#define TEXT_MOST 256
+#define ITEMS_MAX 256
+#define TEXT_MAX_BYTES 256
 
 static void make_mac(const char *key, const uint8_t *data, size_t bytes, uint8_t mac[MAC_BYTES])
 {
@@ -116,33 +116,33 @@
 		return 0;
 	memcpy(&length, data, sizeof(length));
 	length = GUINT32_FROM_BE(length);
-	return length > MAC_BYTES && length <= FRAME_LIMIT_BYTES ? length + FRAME_LENGTH_BYTES : 0;
+	return length > MAC_BYTES && length <= FRAME_MAX_BYTES ? length + FRAME_LENGTH_BYTES : 0;
 }
 
-static bool is_array(const msgpack_object *object, uint32_t least, uint32_t most)
+static bool is_array(const msgpack_object *object, uint32_t min, uint32_t max)
 {
-	return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size >= least &&
-	       object->via.array.size <= most;
+	return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size >= min &&
+	       object->via.array.size <= max;
 }
 
-static bool is_number(const msgpack_object *object, uint64_t most)
+static bool is_number(const msgpack_object *object, uint64_t max)
 {
-	return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER && object->via.u64 <= most;
+	return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER && object->via.u64 <= max;
 }
 
-/* A copy, or NULL when it is not a plain text of at most so many bytes. */
-static char *take_text(const msgpack_object *object, size_t most)
+/* Copies a text; NULL when it is not a text, has more than @p max bytes, or contains a NUL. */
+static char *decode_text(const msgpack_object *object, size_t max)
 {
 	const msgpack_object_str *text = &object->via.str;
 
-	if (object->type != MSGPACK_OBJECT_STR || text->size > most)
+	if (object->type != MSGPACK_OBJECT_STR || text->size > max)
 		return NULL;
 	if (text->size == 0) /* its pointer may be NULL */
 		return g_strdup("");
 	return memchr(text->ptr, '\0', text->size) ? NULL : g_strndup(text->ptr, text->size);
 }
 
-static bool take_member(const msgpack_object *object, GPtrArray *members)
+static bool decode_member(const msgpack_object *object, GPtrArray *members)
 {
 	const msgpack_object *field;
 	member_t *member;
@@ -155,16 +155,16 @@
 		return false;
 	member = g_new0(member_t, 1);
 	g_ptr_array_add(members, member);
-	member->name = take_text(&field[0], TEXT_MOST);
-	member->data_centre = take_text(&field[1], TEXT_MOST);
-	member->address = take_text(&field[2], TEXT_MOST);
+	member->name = decode_text(&field[0], TEXT_MAX_BYTES);
+	member->data_centre = decode_text(&field[1], TEXT_MAX_BYTES);
+	member->address = decode_text(&field[2], TEXT_MAX_BYTES);
 	member->port = (uint16_t)field[3].via.u64;
 	member->incarnation = field[4].via.u64;
 	member->state = (member_state_t)field[5].via.u64;
 	return member->name && member->data_centre && member->address;
 }
 
-static bool take_note(const msgpack_object *object, GPtrArray *notes)
+static bool decode_note(const msgpack_object *object, GPtrArray *notes)
 {
 	const msgpack_object *field;
 	leaving_note_t *note;
@@ -175,24 +175,24 @@
 	field = object->via.array.ptr;
 	note = g_new0(leaving_note_t, 1);
 	g_ptr_array_add(notes, note);
-	note->service = take_text(&field[0], TEXT_MOST);
-	note->upstream = take_text(&field[1], TEXT_MOST);
+	note->service = decode_text(&field[0], TEXT_MAX_BYTES);
+	note->upstream = decode_text(&field[1], TEXT_MAX_BYTES);
 	note->at_ms = field[2].via.u64;
 	return note->service && note->upstream;
 }
 
-static bool take_list(const msgpack_object *object, GPtrArray *out,
-		      bool (*take)(const msgpack_object *object, GPtrArray *out))
+static bool decode_list(const msgpack_object *object, GPtrArray *out,
+			bool (*decode)(const msgpack_object *object, GPtrArray *out))
 {
-	if (!is_array(object, 0, ITEMS_MOST))
+	if (!is_array(object, 0, ITEMS_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++)
-		if (!take(&object->via.array.ptr[i], out))
+		if (!decode(&object->via.array.ptr[i], out))
 			return false;
 	return true;
 }
 
-static bool take_config(const msgpack_object *object, json_t **value)
+static bool decode_config(const msgpack_object *object, json_t **value)
 {
 	if (object->type == MSGPACK_OBJECT_NIL)
 		return true;
@@ -202,7 +202,7 @@
 	return *value != NULL;
 }
 
-static bool take_message(const msgpack_object *object, gossip_message_t *message)
+static bool decode_message(const msgpack_object *object, gossip_message_t *message)
 {
 	const msgpack_object *field;
 
@@ -213,14 +213,15 @@
 	    !is_number(&field[5], UINT64_MAX))
 		return false;
 	message->stamp = field[1].via.u64;
-	message->from = take_text(&field[2], TEXT_MOST);
+	message->from = decode_text(&field[2], TEXT_MAX_BYTES);
 	message->config_number = field[5].via.u64;
-	return message->from && take_list(&field[3], message->members, take_member) &&
-	       take_list(&field[4], message->leaving, take_note) &&
-	       take_config(&field[6], &message->config_value);
+	return message->from && decode_list(&field[3], message->members, decode_member) &&
+	       decode_list(&field[4], message->leaving, decode_note) &&
+	       decode_config(&field[6], &message->config_value);
 }
 
-static bool mac_matches(const char *key, const uint8_t *payload, size_t bytes, const uint8_t *given)
+static bool mac_matches(const char *key, const uint8_t *payload, size_t bytes,
+			const uint8_t *received)
 {
 	uint8_t mac[MAC_BYTES];
 	uint8_t difference = 0;
@@ -229,7 +230,7 @@
 		return false;
 	make_mac(key, payload, bytes, mac);
 	for (int i = 0; i < MAC_BYTES; i++)
-		difference |= mac[i] ^ given[i];
+		difference |= mac[i] ^ received[i];
 	return difference == 0;
 }
 
@@ -240,12 +241,12 @@
 	size_t payload_bytes;
 	gossip_message_t *message;
 	msgpack_unpacked unpacked;
-	bool good;
+	bool valid;
 
 	if (!frame_bytes(data, bytes) || frame_bytes(data, bytes) != bytes)
 		return NULL;
 	payload_bytes = bytes - FRAME_LENGTH_BYTES - MAC_BYTES;
-	/* Nothing of what a stranger sends is parsed. */
+	/* The payload of an unauthenticated peer is not parsed. */
 	if (!mac_matches(key, payload, payload_bytes, mac) &&
 	    !mac_matches(previous_key, payload, payload_bytes, mac))
 		return NULL;
@@ -253,11 +254,11 @@
 		return NULL;
 	message = gossip_message_new();
 	msgpack_unpacked_init(&unpacked);
-	good = msgpack_unpack_next(&unpacked, (const char *)payload, payload_bytes, NULL) ==
-		       MSGPACK_UNPACK_SUCCESS &&
-	       take_message(&unpacked.data, message);
+	valid = msgpack_unpack_next(&unpacked, (const char *)payload, payload_bytes, NULL) ==
+			MSGPACK_UNPACK_SUCCESS &&
+		decode_message(&unpacked.data, message);
 	msgpack_unpacked_destroy(&unpacked);
-	if (good)
+	if (valid)
 		return message;
 	gossip_message_free(message);
 	return NULL;
--- a/src/core/frame.h
+++ b/src/core/frame.h
@@ -1,11 +1,12 @@
 /**
  * @file frame.h
- * The wire between daemons: a length, a message authentication code, and a msgpack message.
+ * The wire format of gossip between daemons: a length, a message authentication code, and a msgpack
+ * message.
  *
- *     4 bytes   length of what follows, big endian
+ *     4 bytes   length of the rest, big endian
  *     32 bytes  HMAC-SHA256 of the payload under the peers' key
- *     payload   msgpack array: format, stamp, from, members, leaving, config number, config text or
- * nil
+ *     payload   msgpack array: format, stamp, from, members, leaving, config number,
+ *               config text or nil
  */
 #ifndef DS_FRAME_H
 #define DS_FRAME_H
@@ -13,13 +14,16 @@
 #include "core/gossip.h"
 
 #define FRAME_LENGTH_BYTES 4
-#define FRAME_LIMIT_BYTES (2u << 20)
+#define FRAME_MAX_BYTES (2u << 20)
 
-/** The whole frame. */
+/** Encode @p message as a whole frame. */
 GByteArray *frame_encode(const gossip_message_t *message, const char *key);
-/** Bytes that the frame at @p data has in all; 0 when the length is not there yet or absurd. */
+/** Size of the frame at @p data in bytes; 0 when its length is not complete yet, or invalid. */
 size_t frame_bytes(const uint8_t *data, size_t have);
-/** Check and read a whole frame. @p previous_key may be empty. NULL when it is not to be trusted.
+/**
+ * Authenticate and decode a whole frame. NULL when its code matches neither key, or its message is
+ * invalid.
+ * @param previous_key may be empty
  */
 gossip_message_t *frame_decode(const uint8_t *data, size_t bytes, const char *key,
 			       const char *previous_key);
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -137,7 +137,7 @@
 	'an old configuration comes back|src/core/adoption.c|s/if \(number <= adoption_number\(adoption\)\)/if (0)/'
 	'a proposal is not looked up|src/core/proposal.c|s/\tif \(own\) \{/\tif (0) {/'
 	'an outage is waited out|src/core/claims.c|s/claims->failures >= FAILURES_TO_OUTAGE/0/'
-	'a stranger may speak|src/core/frame.c|s/return difference == 0;/return true;/'
+	'an unauthenticated peer is accepted|src/core/frame.c|s/return difference == 0;/return true;/'
 	'a report of an earlier start counts|src/core/registry.c|s/return start && born_ms < start->born_ms;/return false;/'
 	'a start that leaves is made ready by a late list|src/core/registry.c|s/start->draining = start->draining \|\| entry->draining;/start->draining = entry->draining;/'
 	'what was seen of an earlier start counts for the next|src/core/sighting.c|s/ \|\| searcher->born_ms != sighting->born_ms//'
