--- a/src/core/msgpack_array.c
+++ b/src/core/msgpack_array.c
@@ -12,7 +12,7 @@
 	size_t offset = 0;
 
 	msgpack_unpacked_init(unpacked);
-	/* A length inside that promises more than there is would make the library allocate it. */
+	/* The library would allocate a declared size even if the payload is shorter. */
 	if (!msgpack_sizes_fit((const uint8_t *)payload.data, payload.bytes))
 		return NULL;
 	if (msgpack_unpack_next(unpacked, payload.data, payload.bytes, &offset) !=
--- a/src/core/msgpack_array.h
+++ b/src/core/msgpack_array.h
@@ -1,6 +1,6 @@
 /**
  * @file msgpack_array.h
- * Reads a message between VMs: one msgpack array.
+ * Unpacks a message between VMs, which is one msgpack array.
  */
 #ifndef DS_MSGPACK_ARRAY_H
 #define DS_MSGPACK_ARRAY_H
@@ -10,9 +10,9 @@
 #include <msgpack.h>
 
 /**
- * The array that @p payload is, or NULL when it is none.
- * @param unpacked keeps what the array borrows; to be destroyed by msgpack_unpacked_destroy(), also
- *        after NULL
+ * Unpack the array in @p payload; NULL when the payload is not a valid array.
+ * @param unpacked owns the memory of the array; the caller must destroy it by
+ *        msgpack_unpacked_destroy(), also after NULL
  */
 const msgpack_object_array *msgpack_array_read(msgpack_unpacked *unpacked,
 					       framing_payload_t payload);
--- a/src/core/msgpack_sizes.c
+++ b/src/core/msgpack_sizes.c
@@ -4,26 +4,26 @@
  */
 #include "core/msgpack_sizes.h"
 
-/** Where the check stands. */
+/** The position of the check in the message. */
 typedef struct cursor_t {
-	const uint8_t *at;
+	const uint8_t *position;
 	size_t left;
-	uint64_t items; /* still to be read */
+	uint64_t items; /* declared, but not read yet */
 } cursor_t;
 
 static bool skip(cursor_t *cursor, uint64_t bytes)
 {
 	if (bytes > cursor->left)
 		return false;
-	cursor->at += bytes;
+	cursor->position += bytes;
 	cursor->left -= bytes;
 	return true;
 }
 
 /* A big-endian number of @p width bytes. */
-static bool take_number(cursor_t *cursor, unsigned width, uint64_t *number)
+static bool read_number(cursor_t *cursor, unsigned width, uint64_t *number)
 {
-	const uint8_t *from = cursor->at;
+	const uint8_t *from = cursor->position;
 
 	*number = 0;
 	if (!skip(cursor, width))
@@ -33,36 +33,36 @@
 	return true;
 }
 
-/* An item takes a byte at least. */
+/* Each item takes at least one byte. */
 static bool add_items(cursor_t *cursor, uint64_t count)
 {
 	cursor->items += count;
 	return cursor->items <= cursor->left;
 }
 
-static bool take_text(cursor_t *cursor, unsigned width, unsigned extra)
+static bool skip_text(cursor_t *cursor, unsigned width, unsigned extra)
 {
 	uint64_t length;
 
-	return take_number(cursor, width, &length) && skip(cursor, length + extra);
+	return read_number(cursor, width, &length) && skip(cursor, length + extra);
 }
 
-static bool take_list(cursor_t *cursor, unsigned width, unsigned each)
+static bool add_list(cursor_t *cursor, unsigned width, unsigned items_each)
 {
 	uint64_t count;
 
-	return take_number(cursor, width, &count) && add_items(cursor, count * each);
+	return read_number(cursor, width, &count) && add_items(cursor, count * items_each);
 }
 
-/* The wide forms, 0xc0 to 0xdf. */
-static bool take_wide(cursor_t *cursor, uint8_t head)
+/* The formats 0xc0 to 0xdf; most have a size or a value in the bytes after the head. */
+static bool check_wide(cursor_t *cursor, uint8_t head)
 {
 	if (head <= 0xc3)
 		return head != 0xc1;
 	if (head <= 0xc6)
-		return take_text(cursor, 1u << (head - 0xc4), 0); /* bin 8, 16, 32 */
+		return skip_text(cursor, 1u << (head - 0xc4), 0); /* bin 8, 16, 32 */
 	if (head <= 0xc9)
-		return take_text(cursor, 1u << (head - 0xc7), 1); /* ext 8, 16, 32 */
+		return skip_text(cursor, 1u << (head - 0xc7), 1); /* ext 8, 16, 32 */
 	if (head <= 0xcb)
 		return skip(cursor, head == 0xca ? 4 : 8); /* float 32, 64 */
 	if (head <= 0xcf)
@@ -72,36 +72,36 @@
 	if (head <= 0xd8)
 		return skip(cursor, 1 + (1u << (head - 0xd4))); /* fixext 1 to 16 */
 	if (head <= 0xdb)
-		return take_text(cursor, 1u << (head - 0xd9), 0); /* str 8, 16, 32 */
+		return skip_text(cursor, 1u << (head - 0xd9), 0); /* str 8, 16, 32 */
 	if (head <= 0xdd)
-		return take_list(cursor, head == 0xdc ? 2 : 4, 1); /* array 16, 32 */
-	return take_list(cursor, head == 0xde ? 2 : 4, 2);	   /* map 16, 32 */
+		return add_list(cursor, head == 0xdc ? 2 : 4, 1); /* array 16, 32 */
+	return add_list(cursor, head == 0xde ? 2 : 4, 2);	  /* map 16, 32 */
 }
 
-static bool take_item(cursor_t *cursor)
+static bool check_item(cursor_t *cursor)
 {
-	uint8_t head = *cursor->at;
+	uint8_t head = *cursor->position;
 
 	if (!skip(cursor, 1))
 		return false;
 	cursor->items--;
 	if (head <= 0x7f || head >= 0xe0)
-		return true; /* small numbers */
+		return true; /* fixint */
 	if (head <= 0x8f)
-		return add_items(cursor, 2u * (head & 0x0f)); /* small map */
+		return add_items(cursor, 2u * (head & 0x0f)); /* fixmap */
 	if (head <= 0x9f)
-		return add_items(cursor, head & 0x0f); /* small array */
+		return add_items(cursor, head & 0x0f); /* fixarray */
 	if (head <= 0xbf)
-		return skip(cursor, head & 0x1f); /* short text */
-	return take_wide(cursor, head);
+		return skip(cursor, head & 0x1f); /* fixstr */
+	return check_wide(cursor, head);
 }
 
 bool msgpack_sizes_fit(const uint8_t *data, size_t bytes)
 {
-	cursor_t cursor = {.at = data, .left = bytes, .items = 1};
+	cursor_t cursor = {.position = data, .left = bytes, .items = 1};
 
 	while (cursor.items > 0)
-		if (cursor.left < cursor.items || !take_item(&cursor))
+		if (cursor.left < cursor.items || !check_item(&cursor))
 			return false;
 	return true;
 }
--- a/src/core/msgpack_sizes.h
+++ b/src/core/msgpack_sizes.h
@@ -1,6 +1,6 @@
 /**
  * @file msgpack_sizes.h
- * Checks a msgpack message's declared sizes before it is unpacked.
+ * Checks the sizes that a msgpack message declares, before it is unpacked.
  */
 #ifndef DS_MSGPACK_SIZES_H
 #define DS_MSGPACK_SIZES_H
@@ -10,10 +10,10 @@
 #include <stdint.h>
 
 /**
- * Whether no list, map or text claims more than the bytes that follow could hold.
+ * Whether no array, map or text declares more than the remaining bytes can hold.
  *
- * msgpack-c reserves room for a list as it is declared: five bytes that claim four thousand million
- * items made it ask for 128 GB.
+ * msgpack-c allocates memory for an array by its declared size: five bytes that declare four
+ * thousand million items made it request 128 GB.
  */
 bool msgpack_sizes_fit(const uint8_t *data, size_t bytes);
 
