--- a/src/core/feed_message.c
+++ b/src/core/feed_message.c
@@ -88,14 +88,14 @@
 	return valid;
 }
 
-framing_t feed_message_read(const uint8_t *data, size_t bytes, size_t *used, feed_message_f handle,
-			    void *ctx)
+framing_result_t feed_message_read(const uint8_t *data, size_t bytes, size_t *used,
+				   feed_message_f handle, void *ctx)
 {
 	framing_payload_t payload;
-	framing_t found = framing_split(data, bytes, FEED_FRAME_MAX_BYTES, &payload);
+	framing_result_t found = framing_split(data, bytes, FEED_FRAME_MAX_BYTES, &payload);
 
-	if (found != FRAMING_ONE)
+	if (found != FRAMING_COMPLETE)
 		return found;
 	*used = FRAMING_LENGTH_BYTES + payload.bytes;
-	return decode_payload(payload, handle, ctx) ? FRAMING_ONE : FRAMING_BAD;
+	return decode_payload(payload, handle, ctx) ? FRAMING_COMPLETE : FRAMING_INVALID;
 }
--- a/src/core/framing.c
+++ b/src/core/framing.c
@@ -20,22 +20,22 @@
 	g_byte_array_append(out, (const guint8 *)payload, (guint)bytes);
 }
 
-framing_t framing_split(const uint8_t *data, size_t bytes, size_t most_bytes,
-			framing_payload_t *payload)
+framing_result_t framing_split(const uint8_t *data, size_t bytes, size_t max_bytes,
+			       framing_payload_t *payload)
 {
 	guint32 length;
 
 	if (bytes < FRAMING_LENGTH_BYTES)
-		return FRAMING_MORE;
+		return FRAMING_INCOMPLETE;
 	memcpy(&length, data, sizeof(length));
 	length = GUINT32_FROM_BE(length);
-	if (length > most_bytes)
-		return FRAMING_BAD;
+	if (length > max_bytes)
+		return FRAMING_INVALID;
 	if (bytes - FRAMING_LENGTH_BYTES < length)
-		return FRAMING_MORE;
+		return FRAMING_INCOMPLETE;
 	*payload = (framing_payload_t){.data = (const char *)data + FRAMING_LENGTH_BYTES,
 				       .bytes = length};
-	return FRAMING_ONE;
+	return FRAMING_COMPLETE;
 }
 
 framing_reader_t *framing_reader_new(framing_read_f read, void *ctx)
@@ -54,19 +54,19 @@
 	g_free(reader);
 }
 
-bool framing_reader_take(framing_reader_t *reader, const char *data, size_t bytes)
+bool framing_reader_add(framing_reader_t *reader, const char *data, size_t bytes)
 {
 	size_t at = 0, used = 0;
-	framing_t read = FRAMING_ONE;
+	framing_result_t read = FRAMING_COMPLETE;
 
 	g_byte_array_append(reader->in, (const guint8 *)data, (guint)bytes);
-	while (read == FRAMING_ONE) {
+	while (read == FRAMING_COMPLETE) {
 		read = reader->read(reader->ctx, reader->in->data + at, reader->in->len - at,
 				    &used);
-		if (read == FRAMING_ONE)
+		if (read == FRAMING_COMPLETE)
 			at += used;
 	}
 	if (at)
 		g_byte_array_remove_range(reader->in, 0, (guint)at);
-	return read != FRAMING_BAD;
+	return read != FRAMING_INVALID;
 }
--- a/src/core/hop_message.c
+++ b/src/core/hop_message.c
@@ -177,16 +177,16 @@
 	return taken;
 }
 
-framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used, hop_message_f take,
-			   void *ctx)
+framing_result_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
+				  hop_message_f take, void *ctx)
 {
 	framing_payload_t payload;
-	framing_t found = framing_split(data, bytes, HOP_FRAME_MOST_BYTES, &payload);
+	framing_result_t found = framing_split(data, bytes, HOP_FRAME_MOST_BYTES, &payload);
 
-	if (found != FRAMING_ONE)
+	if (found != FRAMING_COMPLETE)
 		return found;
 	*used = FRAMING_LENGTH_BYTES + payload.bytes;
-	return take_payload(payload, take, ctx) ? FRAMING_ONE : FRAMING_BAD;
+	return take_payload(payload, take, ctx) ? FRAMING_COMPLETE : FRAMING_INVALID;
 }
 
 const char *hop_reason_name(hop_reason_t reason)
--- a/src/core/hop_message.h
+++ b/src/core/hop_message.h
@@ -93,8 +93,8 @@
 typedef void (*hop_message_f)(void *ctx, const hop_message_t *message);
 
 /** Read the first message of @p data; @p used is set when there is one. */
-framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used, hop_message_f take,
-			   void *ctx);
+framing_result_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
+				  hop_message_f take, void *ctx);
 const char *hop_reason_name(hop_reason_t reason);
 
 #endif
--- a/src/tasks/feed_client.c
+++ b/src/tasks/feed_client.c
@@ -74,7 +74,7 @@
 	client->ops->message(client->ctx, message);
 }
 
-static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
+static framing_result_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
 {
 	return feed_message_read(data, bytes, used, on_message, ctx);
 }
@@ -84,7 +84,7 @@
 	feed_client_t *client = ctx;
 
 	client->in_callback = true;
-	if (!framing_reader_take(client->reader, data, bytes) && !client->freed)
+	if (!framing_reader_add(client->reader, data, bytes) && !client->freed)
 		client_end(client, "garbage");
 	client->in_callback = false;
 	if (client->freed)
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -154,7 +154,7 @@
 	hand_on(server, subscriber, message);
 }
 
-static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
+static framing_result_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
 {
 	return feed_message_read(data, bytes, used, on_message, ctx);
 }
@@ -163,7 +163,7 @@
 {
 	subscriber_t *subscriber = ctx;
 
-	if (framing_reader_take(subscriber->reader, data, bytes))
+	if (framing_reader_add(subscriber->reader, data, bytes))
 		return;
 	g_message("event=subscriber-lost reason=garbage");
 	sock_close(subscriber->sock);
--- a/src/tasks/hop_client.c
+++ b/src/tasks/hop_client.c
@@ -65,7 +65,7 @@
 	handovers_heard(client->handovers, link->gatherer, message, loop_now_us());
 }
 
-static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
+static framing_result_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
 {
 	return hop_message_read(data, bytes, used, on_message, ctx);
 }
@@ -81,7 +81,7 @@
 	hop_client_t *client = link->client;
 
 	link->heard_us = loop_now_us();
-	if (!framing_reader_take(link->reader, data, bytes)) {
+	if (!framing_reader_add(link->reader, data, bytes)) {
 		sock_close(link->sock);
 		link_lost(link, "garbage");
 		return;
--- a/src/tasks/hop_server.c
+++ b/src/tasks/hop_server.c
@@ -188,7 +188,7 @@
 	g_free(conn);
 }
 
-static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
+static framing_result_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
 {
 	return hop_message_read(data, bytes, used, on_message, ctx);
 }
@@ -197,7 +197,7 @@
 {
 	hop_conn_t *conn = ctx;
 
-	if (framing_reader_take(conn->reader, data, bytes))
+	if (framing_reader_add(conn->reader, data, bytes))
 		return;
 	g_warning("event=taker-lost reason=garbage");
 	sock_close(conn->sock);
--- a/tests/hop_message_test.c
+++ b/tests/hop_message_test.c
@@ -95,16 +95,16 @@
 		for (guint have = 0; have < bytes->len; have++)
 			assert_int_equal(
 				hop_message_read(bytes->data, have, &used, write_down, got),
-				FRAMING_MORE);
+				FRAMING_INCOMPLETE);
 		assert_int_equal(hop_message_read(bytes->data, bytes->len, &used, write_down, got),
-				 FRAMING_ONE);
+				 FRAMING_COMPLETE);
 		assert_int_equal(used, bytes->len);
 		assert_string_equal(got->str, wanted->str);
 	}
 }
 
 /* A message in an array of our own, to be read back. */
-static framing_t read_array(const msgpack_sbuffer *buffer, GString *got)
+static framing_result_t read_array(const msgpack_sbuffer *buffer, GString *got)
 {
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
 	size_t used = 0;
@@ -128,7 +128,7 @@
 	msgpack_pack_uint8(&packer, HOP_TYPES + 3);
 	msgpack_pack_uint64(&packer, 1);
 	msgpack_pack_map(&packer, 0);
-	assert_int_equal(read_array(&buffer, got), FRAMING_ONE);
+	assert_int_equal(read_array(&buffer, got), FRAMING_COMPLETE);
 	assert_string_equal(got->str, "");
 	msgpack_sbuffer_clear(&buffer);
 	msgpack_pack_array(&packer, 4);
@@ -136,7 +136,7 @@
 	msgpack_pack_uint64(&packer, 1);
 	msgpack_pack_uint32(&packer, 1);
 	msgpack_pack_nil(&packer);
-	assert_int_equal(read_array(&buffer, got), FRAMING_ONE);
+	assert_int_equal(read_array(&buffer, got), FRAMING_COMPLETE);
 	assert_true(g_str_has_prefix(got->str, "5 #1 reason=0 more=1"));
 	msgpack_sbuffer_destroy(&buffer);
 }
@@ -159,7 +159,7 @@
 
 		framing_append(bytes, payloads[i], strlen(payloads[i]));
 		assert_int_equal(hop_message_read(bytes->data, bytes->len, &used, write_down, got),
-				 FRAMING_BAD);
+				 FRAMING_INVALID);
 		assert_string_equal(got->str, "");
 	}
 }
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -559,20 +559,20 @@
 	feed_cache_apply(book, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
 	feed_cache_write(book, bytes);
 	for (guint have = 0; have <= bytes->len; have++) {
-		framing_t got =
+		framing_result_t got =
 			feed_message_read(bytes->data + at, have - at, &used, write_down, read);
 
-		assert_int_not_equal(got, FRAMING_BAD);
-		if (got == FRAMING_ONE)
+		assert_int_not_equal(got, FRAMING_INVALID);
+		if (got == FRAMING_COMPLETE)
 			at += used;
 	}
 	assert_string_equal(read->str, "0 1   2;1 1 b y 2;4 1   2;");
 	assert_int_equal(
 		feed_message_read((const uint8_t *)"\xff\xff\xff\xff", 4, &used, write_down, read),
-		FRAMING_BAD);
+		FRAMING_INVALID);
 	assert_int_equal(
 		feed_message_read((const uint8_t *)"\0\0\0\2\x92\x01", 6, &used, write_down, read),
-		FRAMING_BAD);
+		FRAMING_INVALID);
 	feed_cache_clear(book);
 	assert_false(feed_cache_is_complete(book));
 	feed_cache_free(book);
@@ -600,7 +600,7 @@
 	for (size_t at = 0, used = 0; at < bytes->len; at += used)
 		assert_int_equal(feed_message_read(bytes->data + at, bytes->len - at, &used,
 						   write_down, read),
-				 FRAMING_ONE);
+				 FRAMING_COMPLETE);
 	assert_string_equal(read->str, "0 1   0;2 1 main  0;4 1   0;");
 	assert_true(feed_cache_find(book, "main", &found));
 	assert_int_equal(found.type, FEED_OBJECT);
