--- a/src/commands/intent.c
+++ b/src/commands/intent.c
@@ -11,7 +11,7 @@
 	return text ? text : "";
 }
 
-plan_t *intent_plan(const GString *body, const adoption_t *adoption, const engine_t *engine,
+plan_t *intent_plan(const GString *body, const active_config_t *adoption, const engine_t *engine,
 		    err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
@@ -52,7 +52,7 @@
 	return true;
 }
 
-plan_t *intent_confirm(const GString *body, const adoption_t *adoption, const engine_t *engine,
+plan_t *intent_confirm(const GString *body, const active_config_t *adoption, const engine_t *engine,
 		       char **by, err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
--- a/src/core/adoption.c
+++ b/src/core/adoption.c
@@ -4,30 +4,31 @@
  */
 #include "core/adoption.h"
 
-uint64_t adoption_number(const adoption_t *adoption)
+uint64_t active_config_number(const active_config_t *active)
 {
-	return adoption->config ? adoption->config->number : 0;
+	return active->config ? active->config->number : 0;
 }
 
-adoption_end_t adoption_offer(adoption_t *adoption, uint64_t number, json_t *value, err_t *err)
+active_config_result_t active_config_offer(active_config_t *active, uint64_t number, json_t *value,
+					   err_t *err)
 {
 	config_t *config;
 
-	/* A stale read or a peer that lags must not bring an old configuration back. */
-	if (number <= adoption_number(adoption))
-		return ADOPTION_OLD;
+	/* A stale read, or a peer with old data, must not restore an old configuration. */
+	if (number <= active_config_number(active))
+		return ACTIVE_CONFIG_OUTDATED;
 	config = config_parse(json_object_get(value, "config"), number, err);
 	if (!config)
-		return ADOPTION_INVALID;
-	adoption_clear(adoption);
-	adoption->config = config;
-	adoption->value = json_incref(value);
-	return ADOPTION_TAKEN;
+		return ACTIVE_CONFIG_INVALID;
+	active_config_clear(active);
+	active->config = config;
+	active->value = json_incref(value);
+	return ACTIVE_CONFIG_REPLACED;
 }
 
-void adoption_clear(adoption_t *adoption)
+void active_config_clear(active_config_t *active)
 {
-	config_unref(adoption->config);
-	json_decref(adoption->value);
-	*adoption = (adoption_t){0};
+	config_unref(active->config);
+	json_decref(active->value);
+	*active = (active_config_t){0};
 }
--- a/src/core/adoption.h
+++ b/src/core/adoption.h
@@ -1,26 +1,30 @@
 /**
  * @file adoption.h
- * Which configuration is in force here: only ever a higher number, whoever brings it.
+ * The configuration in force on this VM. It is replaced only by one with a higher number, whichever
+ * source that comes from.
  */
 #ifndef DS_ADOPTION_H
 #define DS_ADOPTION_H
 
 #include "core/config.h"
 
-typedef enum adoption_end_t {
-	ADOPTION_TAKEN,	  /**< it is now in force */
-	ADOPTION_OLD,	  /**< not higher than what is in force: dropped */
-	ADOPTION_INVALID, /**< not a configuration: dropped, what is in force stays */
-} adoption_end_t;
+typedef enum active_config_result_t {
+	ACTIVE_CONFIG_REPLACED, /**< it is now in force */
+	ACTIVE_CONFIG_OUTDATED, /**< its number is not higher than that in force: dropped */
+	ACTIVE_CONFIG_INVALID,	/**< not a valid configuration: dropped, the one in force stays */
+} active_config_result_t;
 
-typedef struct adoption_t {
-	config_t *config; /**< in force, or NULL before the first */
-	json_t *value;	  /**< the platform's value that it came from */
-} adoption_t;
+typedef struct active_config_t {
+	config_t *config; /**< the one in force; NULL before the first */
+	json_t *value;	  /**< the platform's value that holds it */
+} active_config_t;
 
-/** Offer the platform's value at @p number, from the platform or a peer. */
-adoption_end_t adoption_offer(adoption_t *adoption, uint64_t number, json_t *value, err_t *err);
-uint64_t adoption_number(const adoption_t *adoption);
-void adoption_clear(adoption_t *adoption);
+/** Put the platform's value at @p number in force if it is newer and valid. It comes from the
+ * platform or a peer. */
+active_config_result_t active_config_offer(active_config_t *active, uint64_t number, json_t *value,
+					   err_t *err);
+/** The number of the configuration in force; 0 before the first. */
+uint64_t active_config_number(const active_config_t *active);
+void active_config_clear(active_config_t *active);
 
 #endif
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -119,48 +119,49 @@
 					sum.before ? 100 * sum.after / sum.before : 0));
 }
 
-static bool weigh(plan_t *plan, const adoption_t *adoption, const engine_t *engine, err_t *err)
+static bool weigh(plan_t *plan, const active_config_t *active, const engine_t *engine, err_t *err)
 {
 	config_t *fresh = config_parse(plan->config, plan->base + 1, err);
 
 	if (!fresh)
 		return false;
 	for (guint i = 0; i < fresh->services->len; i++)
-		weigh_service(plan, engine, g_ptr_array_index(adoption->config->services, i),
+		weigh_service(plan, engine, g_ptr_array_index(active->config->services, i),
 			      g_ptr_array_index(fresh->services, i));
 	config_unref(fresh);
 	return true;
 }
 
-plan_t *plan_make(plan_verb_t verb, const char *name, const adoption_t *adoption,
+plan_t *plan_make(plan_verb_t verb, const char *name, const active_config_t *active,
 		  const engine_t *engine, err_t *err)
 {
 	plan_t *plan;
 	json_t *out;
 
-	if (!adoption->config) {
+	if (!active->config) {
 		err_set(err, ERR_IO, "this VM has no configuration yet");
 		return NULL;
 	}
-	out = changed_out(verb, name, json_object_get(adoption->config->source, "out"), err);
+	out = changed_out(verb, name, json_object_get(active->config->source, "out"), err);
 	if (!out)
 		return NULL;
 	plan = g_new0(plan_t, 1);
 	plan->verb = verb;
 	plan->name = g_strdup(name);
-	plan->base = adoption_number(adoption);
+	plan->base = active_config_number(active);
 	plan->id = g_strdup_printf("%s.%s.%" G_GUINT64_FORMAT, verb_names[verb], name, plan->base);
-	plan->config = json_copy(adoption->config->source);
+	plan->config = json_copy(active->config->source);
 	json_object_set_new(plan->config, "out", out);
 	plan->effects = json_array();
 	plan->losses = json_array();
-	if (weigh(plan, adoption, engine, err))
+	if (weigh(plan, active, engine, err))
 		return plan;
 	plan_free(plan);
 	return NULL;
 }
 
-plan_t *plan_again(const char *id, const adoption_t *adoption, const engine_t *engine, err_t *err)
+plan_t *plan_again(const char *id, const active_config_t *active, const engine_t *engine,
+		   err_t *err)
 {
 	g_auto(GStrv) parts = g_strsplit(id, ".", 0);
 	plan_verb_t verb;
@@ -169,14 +170,14 @@
 		err_set(err, ERR_VALUE, "\"%.100s\" is not the name of a plan", id);
 		return NULL;
 	}
-	if (strtoull(parts[2], NULL, 10) != adoption_number(adoption)) {
+	if (strtoull(parts[2], NULL, 10) != active_config_number(active)) {
 		err_set(err, ERR_CONFLICT,
 			"the plan rests on configuration %s, and %" G_GUINT64_FORMAT
 			" is in force: make it anew",
-			parts[2], adoption_number(adoption));
+			parts[2], active_config_number(active));
 		return NULL;
 	}
-	return plan_make(verb, parts[1], adoption, engine, err);
+	return plan_make(verb, parts[1], active, engine, err);
 }
 
 void plan_free(plan_t *plan)
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -27,10 +27,11 @@
 } plan_t;
 
 /** Work out a plan. NULL with the reason in @p err. */
-plan_t *plan_make(plan_verb_t verb, const char *name, const adoption_t *adoption,
+plan_t *plan_make(plan_verb_t verb, const char *name, const active_config_t *active,
 		  const engine_t *engine, err_t *err);
 /** Work out again the plan named @p id; ERR_CONFLICT when what it rests on has moved. */
-plan_t *plan_again(const char *id, const adoption_t *adoption, const engine_t *engine, err_t *err);
+plan_t *plan_again(const char *id, const active_config_t *active, const engine_t *engine,
+		   err_t *err);
 void plan_free(plan_t *plan);
 /** The plan as an operator reads it. A new reference. */
 json_t *plan_json(const plan_t *plan);
--- a/src/queries/status.c
+++ b/src/queries/status.c
@@ -14,7 +14,7 @@
 	return json_pack("{s:s, s:s, s:b, s:b, s:I, s:i}", "vm", source->settings->vm_name,
 			 "data_centre", source->settings->data_centre, "ready",
 			 query_task_ready(source->queries), "leaving", source->leaving, "config",
-			 (json_int_t)adoption_number(query_task_adoption(source->queries)),
+			 (json_int_t)active_config_number(query_task_adoption(source->queries)),
 			 "open_requests", engine_open_queries(query_task_engine(source->queries)));
 }
 
@@ -104,10 +104,10 @@
 
 json_t *status_config(const status_source_t *source)
 {
-	const adoption_t *adoption = query_task_adoption(source->queries);
+	const active_config_t *adoption = query_task_adoption(source->queries);
 
-	return json_pack("{s:I, s:O?}", "number", (json_int_t)adoption_number(adoption), "value",
-			 adoption->value);
+	return json_pack("{s:I, s:O?}", "number", (json_int_t)active_config_number(adoption),
+			 "value", adoption->value);
 }
 
 static void add_event(void *ctx, const timeline_event_t *event)
@@ -180,7 +180,7 @@
 	for (guint i = 0; i < services->len; i++)
 		add_service(out, g_ptr_array_index(services, i));
 	g_string_append_printf(out, "ds_config_number %" G_GUINT64_FORMAT "\n",
-			       adoption_number(query_task_adoption(source->queries)));
+			       active_config_number(query_task_adoption(source->queries)));
 	g_string_append_printf(out,
 			       "ds_platform_calls_total{kind=\"read\"} %" G_GUINT64_FORMAT "\n",
 			       platform->reads);
--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -135,7 +135,7 @@
 
 static void serve_propose(admin_task_t *task, http_exchange_t *exchange)
 {
-	const adoption_t *adoption = query_task_adoption(task->source->queries);
+	const active_config_t *adoption = query_task_adoption(task->source->queries);
 	err_t err = {0};
 	propose_t *propose = propose_parse(http_exchange_body(exchange), &err);
 	g_autofree char *detail = NULL;
@@ -144,10 +144,10 @@
 		reply_problem(exchange, REFUSAL_BAD_REQUEST, err.text);
 		return;
 	}
-	if (propose->base != adoption_number(adoption)) {
+	if (propose->base != active_config_number(adoption)) {
 		detail = g_strdup_printf("it rests on number %" G_GUINT64_FORMAT
 					 ", but %" G_GUINT64_FORMAT " is in force here",
-					 propose->base, adoption_number(adoption));
+					 propose->base, active_config_number(adoption));
 		reply_problem(exchange, REFUSAL_CONFLICT, detail);
 	} else {
 		const proposal_origin_t origin = {
--- a/src/tasks/caller_task.c
+++ b/src/tasks/caller_task.c
@@ -174,7 +174,7 @@
 	const route_t *found = known ? find_route(parts[4], count == 6) : NULL;
 	g_autofree char *detail = NULL;
 
-	if (known && !adoption_number(query_task_adoption(task->queries))) {
+	if (known && !active_config_number(query_task_adoption(task->queries))) {
 		reply_problem(exchange, REFUSAL_NOT_READY, NULL, NULL, 1000000);
 		return;
 	}
--- a/src/tasks/config_task.c
+++ b/src/tasks/config_task.c
@@ -71,13 +71,13 @@
 	config_task_t *task = ctx;
 
 	/* Before the first configuration there is nothing to lose by asking. */
-	if (task->watches && adoption_number(query_task_adoption(task->queries)) &&
+	if (task->watches && active_config_number(query_task_adoption(task->queries)) &&
 	    !task->watches(task->watches_ctx))
 		platform_task_read(task->platform, CONFIG_PATH, on_read_now_and_then, task);
 	else
 		platform_task_watch(task->platform, CONFIG_PATH,
-				    adoption_number(query_task_adoption(task->queries)), on_watch,
-				    task);
+				    active_config_number(query_task_adoption(task->queries)),
+				    on_watch, task);
 }
 
 void config_task_set_watcher(config_task_t *task, config_watches_f watches, void *ctx)
@@ -160,9 +160,9 @@
 			 json_t *config, config_done_f done, void *ctx)
 {
 	static const proposal_ops_t ops = {.read = do_read, .write = do_write, .ended = do_ended};
-	const adoption_t *adoption = query_task_adoption(task->queries);
+	const active_config_t *adoption = query_task_adoption(task->queries);
 	pending_t *pending = g_new0(pending_t, 1);
-	const json_t *history = adoption_number(adoption) == base
+	const json_t *history = active_config_number(adoption) == base
 					? json_object_get(adoption->value, "history")
 					: NULL;
 
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -24,7 +24,7 @@
 	void *news_ctx;
 	engine_t *engine;
 	claims_t *claims;
-	adoption_t adoption;
+	active_config_t adoption;
 	platform_task_t *platform;
 	upstream_task_t *upstreams;
 	timeline_t *timeline;
@@ -373,23 +373,23 @@
 {
 	query_task_t *task = self;
 	config_message_t *offer = message;
-	bool first = adoption_number(&task->adoption) == 0;
+	bool first = active_config_number(&task->adoption) == 0;
 	err_t err = {0};
 
-	switch (adoption_offer(&task->adoption, offer->number, offer->value, &err)) {
-	case ADOPTION_TAKEN:
+	switch (active_config_offer(&task->adoption, offer->number, offer->value, &err)) {
+	case ACTIVE_CONFIG_REPLACED:
 		engine_configure(task->engine, task->adoption.config, loop_now_us());
 		if (task->news)
 			task->news->config(task->news_ctx, offer->number, offer->value);
 		if (first)
 			probe_all(task);
 		break;
-	case ADOPTION_INVALID:
+	case ACTIVE_CONFIG_INVALID:
 		timeline_add(task->timeline,
 			     "event=config-invalid number=%" G_GUINT64_FORMAT " why=\"%s\"",
 			     offer->number, err.text);
 		break;
-	case ADOPTION_OLD:
+	case ACTIVE_CONFIG_OUTDATED:
 		break;
 	}
 	json_decref(offer->value);
@@ -475,7 +475,7 @@
 	return task->engine;
 }
 
-const adoption_t *query_task_adoption(const query_task_t *task)
+const active_config_t *query_task_adoption(const query_task_t *task)
 {
 	return &task->adoption;
 }
--- a/src/tasks/query_task.h
+++ b/src/tasks/query_task.h
@@ -41,7 +41,7 @@
 
 /** For queries by operators and routing by the caller task; read only. */
 const engine_t *query_task_engine(const query_task_t *task);
-const adoption_t *query_task_adoption(const query_task_t *task);
+const active_config_t *query_task_adoption(const query_task_t *task);
 /** Whether this VM can serve: it has a configuration and has heard of searchers. */
 bool query_task_ready(const query_task_t *task);
 /** Whether nothing is under way, so that the process may end. */
--- a/tests/world.c
+++ b/tests/world.c
@@ -608,8 +608,8 @@
 		break;
 	case CALL_WATCH:
 		if (result->end == PLATFORM_OK &&
-		    adoption_offer(&vm->adoption, result->version, result->value, &err) ==
-			    ADOPTION_TAKEN)
+		    active_config_offer(&vm->adoption, result->version, result->value, &err) ==
+			    ACTIVE_CONFIG_REPLACED)
 			engine_configure(vm->engine, vm->adoption.config, world->now_us);
 		break;
 	}
@@ -884,7 +884,7 @@
 	}
 	/* What a killed process held is simply gone: its engine never runs again. */
 	vm->dead = true;
-	adoption_clear(&vm->adoption);
+	active_config_clear(&vm->adoption);
 	g_queue_clear_full(&vm->inbox, sub_unref);
 }
 
@@ -936,7 +936,7 @@
 
 uint64_t world_config_number(const world_t *world, uint32_t vm)
 {
-	return adoption_number(&world->vms[vm].adoption);
+	return active_config_number(&world->vms[vm].adoption);
 }
 
 /* ---- asking ---- */
@@ -1048,7 +1048,7 @@
 	json_object_set_new(config, "out", *out ? json_pack("[s]", out) : json_array());
 	*proposing = (proposing_t){.vm = vm, .end = end, .number = number};
 	*end = PROPOSAL_UNKNOWN;
-	proposal_start(proposal_new(&ops, proposing, &origin, adoption_number(&vm->adoption),
+	proposal_start(proposal_new(&ops, proposing, &origin, active_config_number(&vm->adoption),
 				    json_object_get(vm->adoption.value, "history"), config));
 	json_decref(config);
 }
@@ -1151,7 +1151,7 @@
 	for (uint32_t i = 0; i < world->vm_count; i++) {
 		claims_free(world->vms[i].claims);
 		timeline_free(world->vms[i].timeline);
-		adoption_clear(&world->vms[i].adoption);
+		active_config_clear(&world->vms[i].adoption);
 	}
 	g_ptr_array_unref(world->replicas);
 	g_ptr_array_unref(world->results);
--- a/tests/world.h
+++ b/tests/world.h
@@ -41,7 +41,7 @@
 	char data_centre[16];
 	engine_t *engine;
 	claims_t *claims;
-	adoption_t adoption;
+	active_config_t adoption;
 	timeline_t *timeline;
 	bool dead, frozen, cut_from_platform;
 	uint64_t refreshed_us;
