--- a/src/core/proposal.c
+++ b/src/core/proposal.c
@@ -6,15 +6,15 @@
 
 #include <string.h>
 
-#define HISTORY_MOST 64
-#define TRIES_MOST 5
+#define HISTORY_MAX 64
+#define TRIES_MAX 5
 
 struct proposal_t {
 	const proposal_ops_t *ops;
 	void *ctx;
 	char *id;
 	uint64_t base;
-	json_t *value; /* what is written */
+	json_t *value; /* the value to write */
 	uint32_t tries;
 };
 
@@ -27,7 +27,7 @@
 
 	json_array_append_new(list, json_pack("[s, I]", origin->id, (json_int_t)(base + 1)));
 	json_array_foreach ((json_t *)history, i, item) {
-		if (i < HISTORY_MOST - 1)
+		if (i < HISTORY_MAX - 1)
 			json_array_append(list, item);
 	}
 	return json_pack("{s:s, s:s, s:s, s:o, s:O}", "proposal", origin->id, "by", origin->by,
@@ -60,13 +60,14 @@
 	proposal->ops->write(proposal->ctx, proposal, proposal->base, proposal->value);
 }
 
-static void end(proposal_t *proposal, proposal_end_t end, uint64_t number, const char *other)
+static void finish(proposal_t *proposal, proposal_outcome_t outcome, uint64_t number,
+		   const char *other)
 {
-	proposal->ops->ended(proposal->ctx, proposal, end, number, other);
+	proposal->ops->ended(proposal->ctx, proposal, outcome, number, other);
 }
 
-/* The number at which our id stands in the history, or 0. */
-static uint64_t find_own(const proposal_t *proposal, const json_t *value)
+/* The number that the history gives for this proposal's id; 0 when the id is not in it. */
+static uint64_t find_in_history(const proposal_t *proposal, const json_t *value)
 {
 	size_t i;
 	json_t *item;
@@ -86,36 +87,37 @@
 	const char *other;
 
 	if (result->end != PLATFORM_OK && result->end != PLATFORM_ABSENT) {
-		if (proposal->tries++ < TRIES_MOST)
+		if (proposal->tries++ < TRIES_MAX)
 			proposal->ops->read(proposal->ctx, proposal);
 		else
-			end(proposal, PROPOSAL_UNKNOWN, 0, NULL);
+			finish(proposal, PROPOSAL_UNKNOWN, 0, NULL);
 		return;
 	}
-	own = find_own(proposal, result->value);
+	own = find_in_history(proposal, result->value);
 	if (own) {
-		end(proposal, PROPOSAL_ACCEPTED, own, NULL);
+		finish(proposal, PROPOSAL_ACCEPTED, own, NULL);
 		return;
 	}
 	if (result->version == proposal->base) {
-		/* Not there yet: the write is made again; if the first still arrives, one of them
-		 * fails. */
-		if (proposal->tries < TRIES_MOST)
+		/* Not written yet: retry the write. If the earlier one still arrives, one of the
+		 * two fails. */
+		if (proposal->tries < TRIES_MAX)
 			proposal_start(proposal);
 		else
-			end(proposal, PROPOSAL_UNKNOWN, 0, NULL);
+			finish(proposal, PROPOSAL_UNKNOWN, 0, NULL);
 		return;
 	}
 	other = json_string_value(json_object_get(result->value, "by"));
-	end(proposal, PROPOSAL_CONFLICT, result->version, other);
+	finish(proposal, PROPOSAL_CONFLICT, result->version, other);
 }
 
 void proposal_write_done(proposal_t *proposal, const platform_result_t *result)
 {
 	if (result->end == PLATFORM_OK) {
-		end(proposal, PROPOSAL_ACCEPTED, result->version, NULL);
+		finish(proposal, PROPOSAL_ACCEPTED, result->version, NULL);
 		return;
 	}
-	/* A conflict may be with our own earlier write whose answer was lost: read who it was. */
+	/* The conflict may be with this proposal's own earlier write, whose reply was lost: read
+	 * the object back. */
 	proposal->ops->read(proposal->ctx, proposal);
 }
--- a/src/tasks/config_task.c
+++ b/src/tasks/config_task.c
@@ -136,7 +136,7 @@
 			    pending);
 }
 
-static void do_ended(void *ctx, proposal_t *proposal, proposal_end_t end, uint64_t number,
+static void do_ended(void *ctx, proposal_t *proposal, proposal_outcome_t end, uint64_t number,
 		     const char *other)
 {
 	pending_t *pending = ctx;
--- a/src/tasks/config_task.h
+++ b/src/tasks/config_task.h
@@ -14,7 +14,7 @@
 
 /** How a proposal ended; strings are borrowed. */
 typedef struct config_outcome_t {
-	proposal_end_t end;
+	proposal_outcome_t end;
 	uint64_t number;
 	const char *other;
 } config_outcome_t;
--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -50,7 +50,7 @@
 	const step_t *step, *second_step;
 	uint32_t seen, second_seen;
 	bool injected, second_injected;
-	proposal_end_t proposal_end, racing_end;
+	proposal_outcome_t proposal_end, racing_end;
 	uint64_t proposal_number, racing_number;
 };
 
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -135,7 +135,7 @@
 	'no hedge|src/core/dispatch.c|s/!budget_spend\(&service->hedge_budget\)/1/'
 	'no rescue|src/core/dispatch.c|s/if \(!budget_spend\(&service->rescue_budget\)\)/if (1)/'
 	'an older configuration replaces a newer one|src/core/adoption.c|s/if \(number <= active_config_number\(active\)\)/if (0)/'
-	'a proposal is not looked up|src/core/proposal.c|s/\tif \(own\) \{/\tif (0) {/'
+	'a proposal that took effect is not found in the history|src/core/proposal.c|s/\tif \(own\) \{/\tif (0) {/'
 	'an outage is waited out|src/core/claims.c|s/claims->failures >= FAILURES_TO_OUTAGE/0/'
 	'an unauthenticated peer is accepted|src/core/frame.c|s/return difference == 0;/return true;/'
 	'a report of an earlier start counts|src/core/registry.c|s/return start && born_ms < start->born_ms;/return false;/'
--- a/tests/script_test.c
+++ b/tests/script_test.c
@@ -20,7 +20,7 @@
 
 typedef struct proposal_slot_t {
 	char by[16];
-	proposal_end_t end;
+	proposal_outcome_t end;
 	uint64_t number;
 } proposal_slot_t;
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -999,7 +999,7 @@
 
 typedef struct proposing_t {
 	vm_t *vm;
-	proposal_end_t *end;
+	proposal_outcome_t *end;
 	uint64_t *number;
 } proposing_t;
 
@@ -1023,7 +1023,7 @@
 	platform_call(((proposing_t *)ctx)->vm, &call);
 }
 
-static void proposal_ended(void *ctx, proposal_t *proposal, proposal_end_t end, uint64_t number,
+static void proposal_ended(void *ctx, proposal_t *proposal, proposal_outcome_t end, uint64_t number,
 			   const char *other)
 {
 	proposing_t *proposing = ctx;
@@ -1036,7 +1036,7 @@
 }
 
 void world_propose(world_t *world, uint32_t index, const char *out, const char *by,
-		   proposal_end_t *end, uint64_t *number)
+		   proposal_outcome_t *end, uint64_t *number)
 {
 	static const proposal_ops_t ops = {
 		.read = proposal_read, .write = proposal_write, .ended = proposal_ended};
--- a/tests/world.h
+++ b/tests/world.h
@@ -119,7 +119,7 @@
 void world_revive(world_t *world, replica_t *replica);
 /** Propose the configuration with @p out taken out, through @p vm; the end is put into @p end. */
 void world_propose(world_t *world, uint32_t vm, const char *out, const char *by,
-		   proposal_end_t *end, uint64_t *number);
+		   proposal_outcome_t *end, uint64_t *number);
 uint64_t world_config_number(const world_t *world, uint32_t vm);
 /** At the end of a run: promises that only the whole run can show. */
 void world_check_end(world_t *world);
