--- a/src/commands/intent.c
+++ b/src/commands/intent.c
@@ -43,7 +43,7 @@
 	size_t i;
 	json_t *item;
 
-	json_array_foreach (plan->losses, i, item)
+	json_array_foreach (plan->lost_groups, i, item)
 		if (!is_forced(force, json_string_value(item)))
 			return err_set(err, ERR_VALUE,
 				       "%s would lose its last working "
@@ -56,7 +56,7 @@
 		       char **by, err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
-	plan_t *plan = plan_again(text_of(parsed, "plan"), adoption, engine, err);
+	plan_t *plan = plan_recompute(text_of(parsed, "plan"), adoption, engine, err);
 
 	*by = g_strdup(text_of(parsed, "by"));
 	if (plan && !check_losses(plan, json_object_get(parsed, "force"), err)) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -1,6 +1,6 @@
 /**
  * @file plan.c
- * See plan.h. docs/decisions/0007-intents.md weighs the ways.
+ * See plan.h. docs/decisions/0007-intents.md compares the alternatives.
  */
 #include "core/plan.h"
 
@@ -32,7 +32,7 @@
 	return false;
 }
 
-static json_t *without(const json_t *list, const char *name)
+static json_t *list_without(const json_t *list, const char *name)
 {
 	json_t *rest = json_array(), *item;
 	size_t i;
@@ -43,8 +43,8 @@
 	return rest;
 }
 
-/* What the configuration's "out" is to be; NULL when the intent changes nothing. */
-static json_t *changed_out(plan_verb_t verb, const char *name, const json_t *out, err_t *err)
+/* The new "out" list of the configuration; NULL when the plan changes nothing. */
+static json_t *new_out_list(plan_verb_t verb, const char *name, const json_t *out, err_t *err)
 {
 	json_t *list;
 
@@ -53,14 +53,15 @@
 			verb == PLAN_TAKE_OUT ? "out" : "in");
 		return NULL;
 	}
-	list = without(out, name);
+	list = list_without(out, name);
 	if (verb == PLAN_TAKE_OUT)
 		json_array_append_new(list, json_string(name));
 	return list;
 }
 
-/* Working now: declared in, and neither leaving, nor down, nor unheard of. */
-static bool works(const service_t *service, const upstream_config_t *config)
+/* Whether the upstream works now: its state is known, and it is neither leaving nor down.
+ * count_searchers() checks whether the configuration declares it in. */
+static bool is_working(const service_t *service, const upstream_config_t *config)
 {
 	for (guint i = 0; service && i < service->upstreams->len; i++) {
 		const upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
@@ -73,61 +74,62 @@
 	return false;
 }
 
-/** Searchers of a group or service that work, before and after. */
-typedef struct tally_t {
+/** Number of working searchers of a group or service, before and after the plan. */
+typedef struct searcher_count_t {
 	int before, after;
-} tally_t;
+} searcher_count_t;
 
-static tally_t count_group(const service_t *service, const group_config_t *old_group,
-			   const group_config_t *new_group)
+static searcher_count_t count_searchers(const service_t *service, const group_config_t *old_group,
+					const group_config_t *new_group)
 {
-	tally_t tally = {0};
+	searcher_count_t count = {0};
 
 	for (guint i = 0; i < old_group->upstreams->len; i++) {
-		const upstream_config_t *was = g_ptr_array_index(old_group->upstreams, i);
-		const upstream_config_t *is = g_ptr_array_index(new_group->upstreams, i);
-		bool working = works(service, was);
+		const upstream_config_t *old = g_ptr_array_index(old_group->upstreams, i);
+		const upstream_config_t *new = g_ptr_array_index(new_group->upstreams, i);
+		bool working = is_working(service, old);
 
-		tally.before += working && !was->out;
-		tally.after += working && !is->out;
+		count.before += working && !old->out;
+		count.after += working && !new->out;
 	}
-	return tally;
+	return count;
 }
 
-static void weigh_service(plan_t *plan, const engine_t *engine, const service_config_t *was,
-			  const service_config_t *is)
+static void assess_service(plan_t *plan, const engine_t *engine, const service_config_t *old,
+			   const service_config_t *new)
 {
-	const service_t *service = engine_service(engine, was->name);
-	tally_t sum = {0};
-
-	for (guint i = 0; i < was->groups->len; i++) {
-		const group_config_t *group = g_ptr_array_index(was->groups, i);
-		tally_t tally = count_group(service, group, g_ptr_array_index(is->groups, i));
-
-		sum.before += tally.before;
-		sum.after += tally.after;
-		if (tally.after == 0 && tally.before > 0)
-			json_array_append_new(plan->losses,
-					      json_sprintf("%s/%s", was->name, group->name));
+	const service_t *service = engine_service(engine, old->name);
+	searcher_count_t sum = {0};
+
+	for (guint i = 0; i < old->groups->len; i++) {
+		const group_config_t *group = g_ptr_array_index(old->groups, i);
+		searcher_count_t count =
+			count_searchers(service, group, g_ptr_array_index(new->groups, i));
+
+		sum.before += count.before;
+		sum.after += count.after;
+		if (count.after == 0 && count.before > 0)
+			json_array_append_new(plan->lost_groups,
+					      json_sprintf("%s/%s", old->name, group->name));
 	}
 	if (sum.before == sum.after)
 		return;
 	json_array_append_new(plan->effects,
-			      json_pack("{s:s, s:i, s:i, s:i}", "service", was->name,
+			      json_pack("{s:s, s:i, s:i, s:i}", "service", old->name,
 					"searchers_before", sum.before, "searchers_after",
 					sum.after, "capacity_left_percent",
 					sum.before ? 100 * sum.after / sum.before : 0));
 }
 
-static bool weigh(plan_t *plan, const active_config_t *active, const engine_t *engine, err_t *err)
+static bool assess(plan_t *plan, const active_config_t *active, const engine_t *engine, err_t *err)
 {
 	config_t *fresh = config_parse(plan->config, plan->base + 1, err);
 
 	if (!fresh)
 		return false;
 	for (guint i = 0; i < fresh->services->len; i++)
-		weigh_service(plan, engine, g_ptr_array_index(active->config->services, i),
-			      g_ptr_array_index(fresh->services, i));
+		assess_service(plan, engine, g_ptr_array_index(active->config->services, i),
+			       g_ptr_array_index(fresh->services, i));
 	config_unref(fresh);
 	return true;
 }
@@ -142,7 +144,7 @@
 		err_set(err, ERR_IO, "this VM has no configuration yet");
 		return NULL;
 	}
-	out = changed_out(verb, name, json_object_get(active->config->source, "out"), err);
+	out = new_out_list(verb, name, json_object_get(active->config->source, "out"), err);
 	if (!out)
 		return NULL;
 	plan = g_new0(plan_t, 1);
@@ -153,15 +155,15 @@
 	plan->config = json_copy(active->config->source);
 	json_object_set_new(plan->config, "out", out);
 	plan->effects = json_array();
-	plan->losses = json_array();
-	if (weigh(plan, active, engine, err))
+	plan->lost_groups = json_array();
+	if (assess(plan, active, engine, err))
 		return plan;
 	plan_free(plan);
 	return NULL;
 }
 
-plan_t *plan_again(const char *id, const active_config_t *active, const engine_t *engine,
-		   err_t *err)
+plan_t *plan_recompute(const char *id, const active_config_t *active, const engine_t *engine,
+		       err_t *err)
 {
 	g_auto(GStrv) parts = g_strsplit(id, ".", 0);
 	plan_verb_t verb;
@@ -186,7 +188,7 @@
 	g_free(plan->name);
 	json_decref(plan->config);
 	json_decref(plan->effects);
-	json_decref(plan->losses);
+	json_decref(plan->lost_groups);
 	g_free(plan);
 }
 
@@ -195,7 +197,7 @@
 	return json_pack(
 		"{s:s, s:s, s:s, s:I, s:O, s:O, s:s}", "plan", plan->id, "verb",
 		verb_names[plan->verb], "name", plan->name, "rests_on", (json_int_t)plan->base,
-		"effects", plan->effects, "groups_lost", plan->losses, "step",
+		"effects", plan->effects, "groups_lost", plan->lost_groups, "step",
 		plan->verb == PLAN_TAKE_OUT
 			? "propose a configuration that gives it no new work; what is under way "
 			  "is finished"
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -118,7 +118,7 @@
 	'VMs that start together each take a share|src/core/connection_share.c|s/vms->all \? connections \* USED : 0/connections * USED/'
 	'no time is reserved for leaving a feed|src/core/feed_timing.c|s/define LEAVE_FEED_MS .*/define LEAVE_FEED_MS 0/'
 	'a hopeless gather is sent to those that have room|src/core/forwarder.c|s/if \(is_hopeless\(forward, now_us\)\)/if (0)/'
-	'failures do not weigh in placing|src/core/searcher.c|s/(uint64_t avoid_us = AVOID_FIRST_US[^;]*;\n)\n\tyield_note\(&searcher->yield, true, now_us\);/$1/'
+	'failures do not assess in placing|src/core/searcher.c|s/(uint64_t avoid_us = AVOID_FIRST_US[^;]*;\n)\n\tyield_note\(&searcher->yield, true, now_us\);/$1/'
 	'any answer is merged|src/core/query.c|s/if \(reply->version != query->snapshot->version \|\|/if (0 \&\&/'
 	'a cut action is asked again|src/core/dispatch.c|s/if \(may_have_run && part->query->request->kind == SERVICE_ONCE\)/if (0)/'
 	'an action that is out counts as not run|src/core/engine.c|s/\} else if \(action_is_out\(query\)\) \{/} else if (0) {/'
