--- a/src/core/hlc.c
+++ b/src/core/hlc.c
@@ -4,7 +4,7 @@
  */
 #include "core/hlc.h"
 
-/* A peer whose wall clock is far ahead must not drag every other clock with it. */
+/* A peer whose wall clock is far ahead must not advance the clocks of all other VMs. */
 #define DRIFT_LIMIT_MS 60000u
 
 hlc_t hlc_tick(hlc_t *clock, uint64_t wall_ms)
