--- a/tests/hearing_test.c
+++ b/tests/hearing_test.c
@@ -1,7 +1,7 @@
 /**
  * @file hearing_test.c
- * Whom VMs hear the store from, played in virtual time: a store that goes away in every way, calls
- * and links with a delay, and VMs that each decide by core/hearing.
+ * The sources that VMs use for the store's data, simulated in virtual time: a store that becomes
+ * unreachable in several ways, calls and links with a delay, and VMs that decide by core/hearing.
  */
 #include "core/hearing.h"
 #include "core/timers.h"
@@ -16,40 +16,41 @@
 #define KINDS 3
 #define KIND_SEARCHERS 0
 #define KIND_CONFIGURATION 1
-#define KIND_RARE 2 /* watched for long */
-#define VMS_MOST 40
-/* A watch of KIND_RARE, with its slack: it may be the only call that was out when its connection
- * went silent, and nothing else shows that. */
+#define KIND_RARE 2 /* watched with a long wait */
+#define VMS_MAX 40
+/* A watch of KIND_RARE, with its slack. It may be the only pending call when its connection goes
+ * silent, and nothing else shows that. */
 #define RARE_US (20700 * MS_US)
-#define NEWS_US (500 * MS_US)
-/* One way, with the connection that a call may need. */
+#define STATUS_US (500 * MS_US)
+/* One-way delay, including the connection that a call may need. */
 #define DELAY_US (20 * MS_US)
-/* A subscriber that hears nothing for so long closes its link. */
-#define LINK_SILENT_US (1700 * MS_US)
+/* A subscriber closes a link that was silent for this time. */
+#define LINK_TIMEOUT_US (1700 * MS_US)
 #define START_US (100000 * MS_US)
-#define AWAYS_MOST 4
+#define OUTAGES_MAX 4
 
-/** How the store, or the way to it, is away. */
-typedef enum manner_t { SILENT, BUSY, RESET, SLOW, ANSWERS_LOST, MANNERS } manner_t;
+/** How the store, or the network path to it, fails. */
+typedef enum failure_t { SILENT, BUSY, RESET, SLOW, ANSWERS_LOST, FAILURES } failure_t;
 
-/** Away for the VMs of a mask, from a moment to another. */
-typedef uint64_t vms_t; /* a bit each */
+/** A set of VMs, one bit each. */
+typedef uint64_t vms_t;
 
-typedef struct away_t {
-	manner_t manner;
+/** A failure of the store for some VMs, for a time. */
+typedef struct outage_t {
+	failure_t failure;
 	vms_t vms;
 	uint64_t from_us, until_us;
-} away_t;
+} outage_t;
 
 struct sim_t;
 
 typedef struct call_t {
-	uint32_t serial; /* 0: none is out */
+	uint32_t serial; /* 0: no call is pending */
 	store_sync_call_t asked;
-	uint64_t since; /* revision that a watch goes on from */
-	bool waits;	/* at the store, for a change */
+	uint64_t since; /* revision that a watch starts from */
+	bool waits;	/* the watch waits at the store for a change */
 	uint64_t answered_us;
-	bool dead; /* the connection that it uses, and the next call will, has gone silent */
+	bool dead; /* its connection has gone silent; the next call would use it too */
 } call_t;
 
 typedef struct node_t {
@@ -58,10 +59,10 @@
 	store_sync_t *sync;
 	call_t calls[KINDS];
 	uint64_t known[KINDS]; /* revision */
-	uint32_t asked;	       /* calls so far, looks too */
+	uint32_t asked;	       /* calls so far, including store checks */
 	uint32_t links;	       /* opened so far */
-	uint32_t asked_links;  /* for what they have announced */
-	bool cut;	       /* from other VMs */
+	uint32_t asked_links;  /* requests to links for announced objects */
+	bool cut;	       /* cut off from the other VMs */
 	vm_t vm;
 	char name[8];
 } node_t;
@@ -70,10 +71,10 @@
 	uint64_t now_us;
 	timers_t timers; /* event_t */
 	GRand *rand;
-	away_t aways[AWAYS_MOST];
-	uint32_t away_count;
+	outage_t outages[OUTAGES_MAX];
+	uint32_t outage_count;
 	uint64_t revision[KINDS];
-	node_t nodes[VMS_MOST];
+	node_t nodes[VMS_MAX];
 	uint32_t count;
 	uint32_t serial;
 } sim_t;
@@ -110,12 +111,13 @@
 
 /* ---- the store ---- */
 
-static const away_t *away_for(const sim_t *sim, const node_t *node)
+static const outage_t *outage_of(const sim_t *sim, const node_t *node)
 {
-	for (uint32_t i = 0; i < sim->away_count; i++)
-		if ((sim->aways[i].vms >> node->number & 1) &&
-		    sim->now_us >= sim->aways[i].from_us && sim->now_us < sim->aways[i].until_us)
-			return &sim->aways[i];
+	for (uint32_t i = 0; i < sim->outage_count; i++)
+		if ((sim->outages[i].vms >> node->number & 1) &&
+		    sim->now_us >= sim->outages[i].from_us &&
+		    sim->now_us < sim->outages[i].until_us)
+			return &sim->outages[i];
 	return NULL;
 }
 
@@ -123,20 +125,20 @@
 
 static uint64_t delay_of(const sim_t *sim, const node_t *node)
 {
-	const away_t *away = away_for(sim, node);
+	const outage_t *outage = outage_of(sim, node);
 
-	return away && away->manner == SLOW ? DELAY_US * 15 : DELAY_US;
+	return outage && outage->failure == SLOW ? DELAY_US * 15 : DELAY_US;
 }
 
-static void watch_over(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
+static void end_watch(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
 {
 	call_t *call = &node->calls[kind];
-	const away_t *away = away_for(sim, node);
+	const outage_t *outage = outage_of(sim, node);
 
 	if (call->serial != serial || !call->waits)
 		return;
 	call->waits = false;
-	if (!away || away->manner == SLOW || away->manner == BUSY)
+	if (!outage || outage->failure == SLOW || outage->failure == BUSY)
 		after(sim, delay_of(sim, node), reply, node, kind, serial);
 }
 
@@ -152,53 +154,53 @@
 static void arrive(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
 {
 	call_t *call = &node->calls[kind];
-	const away_t *away = away_for(sim, node);
+	const outage_t *outage = outage_of(sim, node);
 
 	if (call->serial != serial || call->dead ||
-	    (away && (away->manner == SILENT || away->manner == ANSWERS_LOST)))
+	    (outage && (outage->failure == SILENT || outage->failure == ANSWERS_LOST)))
 		return;
-	if (away && away->manner != SLOW) {
+	if (outage && outage->failure != SLOW) {
 		after(sim, DELAY_US, refuse, node, kind, serial);
 		return;
 	}
 	call->waits = !call->asked.list && sim->revision[kind] <= call->since;
 	if (call->waits)
-		after(sim, call->asked.wait_ms * MS_US, watch_over, node, kind, serial);
+		after(sim, call->asked.wait_ms * MS_US, end_watch, node, kind, serial);
 	else
 		after(sim, delay_of(sim, node), reply, node, kind, serial);
 }
 
-static void tell_subscribers(sim_t *sim, const node_t *node);
+static void send_to_subscribers(sim_t *sim, const node_t *node);
 
-static void learn(sim_t *sim, node_t *node, uint32_t kind, uint64_t revision)
+static void update(sim_t *sim, node_t *node, uint32_t kind, uint64_t revision)
 {
 	if (revision <= node->known[kind])
 		return;
 	node->known[kind] = revision;
 	if (store_sync_watches(node->sync))
-		tell_subscribers(sim, node);
+		send_to_subscribers(sim, node);
 }
 
 static void reply(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
 {
 	call_t *call = &node->calls[kind];
-	const away_t *away = away_for(sim, node);
+	const outage_t *outage = outage_of(sim, node);
 	bool changed = sim->revision[kind] > call->since;
 	store_sync_result_t end = call->asked.list ? STORE_SYNC_LISTED
 				  : changed	   ? STORE_SYNC_CHANGED
 						   : STORE_SYNC_OK;
 
 	if (call->serial != serial || call->dead ||
-	    (away && (away->manner == SILENT || away->manner == ANSWERS_LOST)))
+	    (outage && (outage->failure == SILENT || outage->failure == ANSWERS_LOST)))
 		return;
 	call->serial = 0;
 	call->answered_us = sim->now_us;
 	call->since = sim->revision[kind];
-	learn(sim, node, (uint32_t)kind, sim->revision[kind]);
+	update(sim, node, (uint32_t)kind, sim->revision[kind]);
 	store_sync_call_ended(node->sync, (uint32_t)kind, end, sim->now_us);
 }
 
-static void give_up(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
+static void time_out(sim_t *sim, node_t *node, uint64_t kind, uint64_t serial)
 {
 	if (node->calls[kind].serial != serial)
 		return;
@@ -213,7 +215,7 @@
 	(void)none;
 	sim->revision[kind]++;
 	for (uint32_t i = 0; i < sim->count; i++)
-		watch_over(sim, &sim->nodes[i], kind, sim->nodes[i].calls[kind].serial);
+		end_watch(sim, &sim->nodes[i], kind, sim->nodes[i].calls[kind].serial);
 }
 
 static void change_all(sim_t *sim)
@@ -222,7 +224,7 @@
 		change(sim, NULL, kind, 0);
 }
 
-/* What is out, or waits at the store, is never answered; what comes later may be. */
+/* Calls that are pending or wait at the store are never answered; later ones may be. */
 static void swallow(sim_t *sim, node_t *node, uint64_t mask, uint64_t none)
 {
 	(void)node;
@@ -233,7 +235,7 @@
 				sim->nodes[i].calls[kind].waits = false;
 }
 
-/* All connections to the store that these VMs have, used or kept, go silent for good. */
+/* All connections of these VMs to the store, in use or idle, go silent for good. */
 static void silence_connections(sim_t *sim, vms_t vms)
 {
 	swallow(sim, NULL, vms, 0);
@@ -242,26 +244,26 @@
 			sim->nodes[i].calls[kind].dead |= vms >> i & 1;
 }
 
-static void play_away(sim_t *sim, manner_t manner, vms_t vms, uint64_t from_us, uint64_t for_us)
+static void add_outage(sim_t *sim, failure_t failure, vms_t vms, uint64_t from_us, uint64_t for_us)
 {
-	sim->aways[sim->away_count++] = (away_t){
-		.manner = manner, .vms = vms, .from_us = from_us, .until_us = from_us + for_us};
-	if (manner == SILENT || manner == ANSWERS_LOST)
+	sim->outages[sim->outage_count++] = (outage_t){
+		.failure = failure, .vms = vms, .from_us = from_us, .until_us = from_us + for_us};
+	if (failure == SILENT || failure == ANSWERS_LOST)
 		after(sim, from_us - sim->now_us, swallow, NULL, vms, 0);
 }
 
 /* ---- links ---- */
 
 typedef struct link_t {
-	node_t *from, *to; /* the subscriber, and whom it hears */
+	node_t *from, *to; /* the subscriber, and its feeder */
 	store_sync_link_t *link;
-	uint64_t told_us;
+	uint64_t received_us;
 	bool greeted;
 	bool lists;
 } link_t;
 
 static GPtrArray *links;	/* link_t that are open */
-static GPtrArray *closed_links; /* to which messages may still be on their way */
+static GPtrArray *closed_links; /* messages to them may still be under way */
 
 static void message(sim_t *sim, node_t *node, uint64_t a, uint64_t b);
 
@@ -270,20 +272,20 @@
 	return g_ptr_array_find(links, link, NULL);
 }
 
-static void tell(sim_t *sim, link_t *link)
+static void send(sim_t *sim, link_t *link)
 {
 	if (!link->to->cut && !link->from->cut)
 		after(sim, DELAY_US, message, link->from, (uint64_t)(uintptr_t)link, 0);
 }
 
-static void news_due(sim_t *sim, node_t *node, uint64_t a, uint64_t none)
+static void status_due(sim_t *sim, node_t *node, uint64_t a, uint64_t none)
 {
 	link_t *link = (link_t *)(uintptr_t)a;
 
 	if (!is_open(link))
 		return;
-	tell(sim, link);
-	after(sim, NEWS_US, news_due, node, a, none);
+	send(sim, link);
+	after(sim, STATUS_US, status_due, node, a, none);
 }
 
 static void message(sim_t *sim, node_t *node, uint64_t a, uint64_t b)
@@ -295,10 +297,10 @@
 	if (!is_open(link))
 		return;
 	status = store_sync_status(link->to->sync, sim->now_us);
-	link->told_us = sim->now_us;
+	link->received_us = sim->now_us;
 	if (!status.unreliable || link->lists)
 		for (uint32_t kind = 0; kind < KINDS; kind++)
-			learn(sim, node, kind, link->to->known[kind]);
+			update(sim, node, kind, link->to->known[kind]);
 	store_sync_link_status(node->sync, link->link, &status, sim->now_us);
 	for (uint32_t kind = 0; kind < KINDS && is_open(link) && !link->lists && !status.unreliable;
 	     kind++)
@@ -307,27 +309,27 @@
 		link->lists |= !status.unreliable;
 }
 
-static void tell_subscribers(sim_t *sim, const node_t *node)
+static void send_to_subscribers(sim_t *sim, const node_t *node)
 {
 	for (guint i = 0; i < links->len; i++) {
 		link_t *link = g_ptr_array_index(links, i);
 
 		if (link->to == node && link->lists)
-			tell(sim, link);
+			send(sim, link);
 	}
 }
 
-static void listen_long(sim_t *sim, node_t *node, uint64_t a, uint64_t none)
+static void check_silence(sim_t *sim, node_t *node, uint64_t a, uint64_t none)
 {
 	link_t *link = (link_t *)(uintptr_t)a;
 
 	if (!is_open(link))
 		return;
-	if (sim->now_us >= link->told_us + LINK_SILENT_US)
+	if (sim->now_us >= link->received_us + LINK_TIMEOUT_US)
 		store_sync_link_ended(node->sync, link->link, "silent", sim->now_us);
 	else
-		after(sim, link->told_us + LINK_SILENT_US - sim->now_us, listen_long, node, a,
-		      none);
+		after(sim, link->received_us + LINK_TIMEOUT_US - sim->now_us, check_silence, node,
+		      a, none);
 }
 
 static void connected(sim_t *sim, node_t *node, uint64_t a, uint64_t none)
@@ -337,17 +339,17 @@
 	if (!is_open(link))
 		return;
 	if (store_sync_has_data(link->to->sync))
-		tell(sim, link);
-	after(sim, g_rand_int_range(sim->rand, 0, NEWS_US), news_due, node, a, none);
+		send(sim, link);
+	after(sim, g_rand_int_range(sim->rand, 0, STATUS_US), status_due, node, a, none);
 }
 
-/* ---- what a VM's decisions cause ---- */
+/* ---- callbacks of the VMs ---- */
 
 static void on_cancel(void *ctx, uint32_t kind)
 {
 	call_t *call = &((node_t *)ctx)->calls[kind];
 
-	call->dead &= !call->serial; /* a call that is given up closes its connection */
+	call->dead &= !call->serial; /* a call that is dropped closes its connection */
 	call->serial = 0;
 }
 
@@ -364,7 +366,7 @@
 	call->asked = *asked;
 	call->waits = false;
 	after(sim, DELAY_US, arrive, node, kind, call->serial);
-	after(sim, asked->timeout_us, give_up, node, kind, call->serial);
+	after(sim, asked->timeout_us, time_out, node, kind, call->serial);
 }
 
 static void on_list_anew(void *ctx, uint32_t kind)
@@ -376,19 +378,19 @@
 {
 	(void)none;
 	if (reached)
-		learn(sim, node, KIND_CONFIGURATION, sim->revision[KIND_CONFIGURATION]);
+		update(sim, node, KIND_CONFIGURATION, sim->revision[KIND_CONFIGURATION]);
 	store_sync_check_ended(node->sync, reached, sim->now_us);
 }
 
 static void on_look(void *ctx, uint64_t timeout_us)
 {
 	node_t *node = ctx;
-	const away_t *away = away_for(node->sim, node);
-	bool swallowed = away && (away->manner == SILENT || away->manner == ANSWERS_LOST);
+	const outage_t *outage = outage_of(node->sim, node);
+	bool lost = outage && (outage->failure == SILENT || outage->failure == ANSWERS_LOST);
 
 	node->asked++;
-	after(node->sim, swallowed ? timeout_us : 2 * delay_of(node->sim, node), looked, node,
-	      !away || away->manner == SLOW, 0);
+	after(node->sim, lost ? timeout_us : 2 * delay_of(node->sim, node), looked, node,
+	      !outage || outage->failure == SLOW, 0);
 }
 
 static bool on_open(void *ctx, store_sync_link_t *sync_link)
@@ -400,14 +402,14 @@
 	node->links++;
 	link->from = node;
 	link->link = sync_link;
-	link->told_us = sim->now_us;
+	link->received_us = sim->now_us;
 	sync_link->data = link;
 	for (uint32_t i = 0; i < sim->count; i++)
 		if (g_str_equal(sim->nodes[i].name, sync_link->vm))
 			link->to = &sim->nodes[i];
 	g_ptr_array_add(links, link);
 	after(sim, DELAY_US, connected, node, (uint64_t)(uintptr_t)link, 0);
-	after(sim, LINK_SILENT_US, listen_long, node, (uint64_t)(uintptr_t)link, 0);
+	after(sim, LINK_TIMEOUT_US, check_silence, node, (uint64_t)(uintptr_t)link, 0);
 	return true;
 }
 
@@ -436,7 +438,7 @@
 	(void)ctx;
 }
 
-/* ---- the course of a play ---- */
+/* ---- simulation ---- */
 
 static void run_until(sim_t *sim, uint64_t end_us)
 {
@@ -483,8 +485,10 @@
 	store_sync_start(node->sync, sim->now_us);
 }
 
-/** @param feeders the timing of VMs that feed others
- * @param watchers VMs that watch the store; all others are fed by these */
+/**
+ * @param feeders the timing of VMs that feed others
+ * @param watchers number of VMs that watch the store and feed all others
+ */
 static sim_t *sim_with(const feed_timing_t *timing, const feed_timing_t *feeders, uint32_t count,
 		       uint32_t watchers, uint32_t seed)
 {
@@ -508,7 +512,7 @@
 	return sim_with(timing, timing, count, watchers, seed);
 }
 
-static void introduce(sim_t *sim, uint32_t watchers)
+static void set_all_vms(sim_t *sim, uint32_t watchers)
 {
 	for (uint32_t i = 0; i < sim->count; i++) {
 		g_autoptr(GPtrArray) feeders = g_ptr_array_new();
@@ -529,7 +533,7 @@
 	}
 }
 
-/* The events left are of links that are closed, or of calls that count no more. */
+/* The remaining events belong to closed links or dropped calls. */
 static void sim_free(sim_t *sim)
 {
 	for (uint32_t i = 0; i < sim->count; i++)
@@ -561,7 +565,7 @@
 	return feed_timing_for(bounds->apply_ms, bounds->settle_ms, 0);
 }
 
-/* Every VM of @p vms knows the latest change of the first @p kinds. */
+/* Every VM of @p vms has the latest change of each of the first @p kinds. */
 static void expect_kinds(const sim_t *sim, uint32_t kinds, vms_t vms, const char *what,
 			 uint64_t detail)
 {
@@ -582,53 +586,55 @@
 
 #define ALL_VMS UINT64_MAX
 
-/* Changes behind the end of an outage, in force when both have settled and are due. */
-static void play_outage(const bounds_t *bounds, manner_t manner, uint32_t watchers, uint32_t count,
-			uint64_t away_ms, uint64_t behind_ms)
+/* A change @p after_ms after the end of an outage must be known once the settle time after the
+ * outage and the apply time after the change have passed. */
+static void run_outage(const bounds_t *bounds, failure_t failure, uint32_t watchers, uint32_t count,
+		       uint64_t outage_ms, uint64_t after_ms)
 {
-	static const char *const names[MANNERS] = {"silent", "busy", "reset", "slow",
-						   "answers lost"};
+	static const char *const names[FAILURES] = {"silent", "busy", "reset", "slow",
+						    "answers lost"};
 	const feed_timing_t timing = timing_of(bounds);
-	sim_t *sim = sim_new(&timing, count, watchers, (uint32_t)(away_ms * 7 + behind_ms));
-	uint64_t away_us = START_US + 9000 * MS_US + away_ms % 977 * MS_US;
-	uint64_t back_us = away_us + away_ms * MS_US;
-	uint64_t acked_us = back_us + behind_ms * MS_US;
+	sim_t *sim = sim_new(&timing, count, watchers, (uint32_t)(outage_ms * 7 + after_ms));
+	uint64_t outage_us = START_US + 9000 * MS_US + outage_ms % 977 * MS_US;
+	uint64_t back_us = outage_us + outage_ms * MS_US;
+	uint64_t acked_us = back_us + after_ms * MS_US;
 
-	introduce(sim, watchers);
-	play_away(sim, manner, ALL_VMS, away_us, away_ms * MS_US);
+	set_all_vms(sim, watchers);
+	add_outage(sim, failure, ALL_VMS, outage_us, outage_ms * MS_US);
 	run_until(sim, acked_us);
 	change_all(sim);
 	run_until(sim,
 		  MAX(back_us + bounds->settle_ms * MS_US, acked_us + bounds->apply_ms * MS_US));
-	expect_known(sim, ALL_VMS, names[manner], away_ms);
+	expect_known(sim, ALL_VMS, names[failure], outage_ms);
 	sim_free(sim);
 }
 
-/* A call that the store swallowed just before its return was waited for at a watch's length. */
-static void test_change_behind_an_outage_is_late(void **state)
+/* Guards against a call that the store lost just before its recovery and that times out only after
+ * the wait of a watch: the next change comes late. */
+static void test_change_after_an_outage_is_late(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
-		for (int manner = 0; manner < MANNERS; manner++)
-			for (uint64_t away_ms = 50; away_ms < 14000; away_ms += 137) {
-				play_outage(&all_bounds[i], (manner_t)manner, 1, 1, away_ms, 1);
-				play_outage(&all_bounds[i], (manner_t)manner, 1, 1, away_ms,
-					    away_ms * 31 % 5000);
+		for (int failure = 0; failure < FAILURES; failure++)
+			for (uint64_t outage_ms = 50; outage_ms < 14000; outage_ms += 137) {
+				run_outage(&all_bounds[i], (failure_t)failure, 1, 1, outage_ms, 1);
+				run_outage(&all_bounds[i], (failure_t)failure, 1, 1, outage_ms,
+					   outage_ms * 31 % 5000);
 			}
 }
 
-/* The same where a few VMs watch and feed the others. */
-static void test_change_behind_an_outage_is_late_on_fed_vms(void **state)
+/* The same where a few VMs watch the store and feed the others. */
+static void test_change_after_an_outage_is_late_on_fed_vms(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
-		for (int manner = 0; manner < MANNERS; manner++)
-			for (uint64_t away_ms = 50; away_ms < 14000; away_ms += 437)
-				play_outage(&all_bounds[i], (manner_t)manner, 2, 6, away_ms,
-					    away_ms * 31 % 3000);
+		for (int failure = 0; failure < FAILURES; failure++)
+			for (uint64_t outage_ms = 50; outage_ms < 14000; outage_ms += 437)
+				run_outage(&all_bounds[i], (failure_t)failure, 2, 6, outage_ms,
+					   outage_ms * 31 % 3000);
 }
 
-/* Connections that went silent hide what came right after. */
+/* Connections that go silent hide a change right after that. */
 static void test_silent_connections_hide_a_change(void **state)
 {
 	(void)state;
@@ -639,7 +645,7 @@
 				sim_t *sim =
 					sim_new(&timing, count, MIN(count, 2), (uint32_t)at_ms);
 
-				introduce(sim, MIN(count, 2));
+				set_all_vms(sim, MIN(count, 2));
 				run_until(sim, START_US + at_ms * MS_US);
 				silence_connections(sim, ALL_VMS);
 				change_all(sim);
@@ -651,8 +657,8 @@
 			}
 }
 
-/* The same on some VMs, again and again, and the change a while later: a call that is made anew
- * after one silence goes silent in the next. */
+/* The same on some VMs, several times, with the change a while later: a call that was repeated
+ * after one failure is lost in the next. */
 static void test_silent_connections_of_some_hide_a_change(void **state)
 {
 	static const vms_t some[] = {1, 2, 3, 0x16, 0x3e, ALL_VMS};
@@ -666,7 +672,7 @@
 				sim_t *sim = sim_new(&timing, 6, watchers, (uint32_t)at_ms);
 				uint64_t silent_us = 0;
 
-				introduce(sim, watchers);
+				set_all_vms(sim, watchers);
 				run_until(sim, START_US + at_ms * MS_US);
 				for (uint32_t time = 0; time < times; time++) {
 					silent_us = sim->now_us;
@@ -682,16 +688,17 @@
 			}
 }
 
-/* VMs that reach the store are as late as a feeder that does not: their feeder says nothing new. */
-static void play_cut_feeders(const bounds_t *bounds, manner_t manner, uint32_t feeders,
-			     uint64_t at_ms)
+/* VMs that reach the store themselves get a change as late as their feeder that does not: it sends
+ * nothing new. */
+static void run_cut_feeders(const bounds_t *bounds, failure_t failure, uint32_t feeders,
+			    uint64_t at_ms)
 {
 	const feed_timing_t timing = timing_of(bounds);
 	sim_t *sim = sim_new(&timing, 6, 2, (uint32_t)at_ms);
 	uint64_t cut_us = START_US + at_ms * MS_US;
 
-	introduce(sim, 2);
-	play_away(sim, manner, feeders, cut_us, 20000 * MS_US);
+	set_all_vms(sim, 2);
+	add_outage(sim, failure, feeders, cut_us, 20000 * MS_US);
 	run_until(sim, cut_us + at_ms * 13 % 4000 * MS_US);
 	change_all(sim);
 	run_until(sim, sim->now_us + bounds->apply_ms * MS_US);
@@ -703,26 +710,28 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
-		for (int manner = 0; manner < MANNERS; manner++)
+		for (int failure = 0; failure < FAILURES; failure++)
 			for (uint32_t feeders = 1; feeders <= 3; feeders += 2)
 				for (uint64_t at_ms = 9000; at_ms < 14000; at_ms += 173)
-					play_cut_feeders(&all_bounds[i], (manner_t)manner, feeders,
-							 at_ms);
+					run_cut_feeders(&all_bounds[i], (failure_t)failure, feeders,
+							at_ms);
 }
 
-/* The same of feeders that notice late, as by other settings: their news say how old they are. */
-static void play_late_feeders(const bounds_t *bounds, uint32_t settle_ms, uint64_t at_ms)
+/* The same with feeders that notice it late, as they would with other settings: only the age in
+ * their status shows it. */
+static void run_late_feeders(const bounds_t *bounds, uint32_t settle_ms, uint64_t at_ms)
 {
 	const feed_timing_t late = feed_timing_for(30000, settle_ms, 0);
 	const feed_timing_t timing = timing_of(bounds);
 	sim_t *sim = sim_with(&timing, &late, 6, 2, (uint32_t)at_ms);
 	uint64_t due_us = START_US + (at_ms + bounds->apply_ms) * MS_US;
 
-	introduce(sim, 2);
-	play_away(sim, SILENT, 3, START_US + at_ms * MS_US, 30000 * MS_US);
+	set_all_vms(sim, 2);
+	add_outage(sim, SILENT, 3, START_US + at_ms * MS_US, 30000 * MS_US);
 	run_until(sim, START_US + at_ms * MS_US);
 	change_all(sim);
-	/* In half of the plays they fall silent before their last news are too old. */
+	/* In half of the runs the feeders go silent before the age of their last status exceeds its
+	 * limit. */
 	run_until(sim, due_us - 1000 * MS_US);
 	sim->nodes[0].cut = sim->nodes[1].cut = at_ms % 2;
 	run_until(sim, due_us);
@@ -730,18 +739,18 @@
 	sim_free(sim);
 }
 
-static void test_old_news_of_a_feeder_hide_a_change(void **state)
+static void test_stale_feed_hides_a_change(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
 		for (uint64_t at_ms = 9000; at_ms < 19000; at_ms += 73) {
-			play_late_feeders(&all_bounds[i], 30000, at_ms);
-			play_late_feeders(&all_bounds[i], all_bounds[i].apply_ms + 500, at_ms);
+			run_late_feeders(&all_bounds[i], 30000, at_ms);
+			run_late_feeders(&all_bounds[i], all_bounds[i].apply_ms + 500, at_ms);
 		}
 }
 
-/* A feeder that stands still says nothing at all. */
-static void test_feeder_that_stands_still_hides_a_change(void **state)
+/* A suspended feeder sends nothing at all. */
+static void test_suspended_feeder_hides_a_change(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
@@ -749,7 +758,7 @@
 			const feed_timing_t timing = timing_of(&all_bounds[i]);
 			sim_t *sim = sim_new(&timing, 6, 2, (uint32_t)at_ms);
 
-			introduce(sim, 2);
+			set_all_vms(sim, 2);
 			run_until(sim, START_US + at_ms * MS_US);
 			sim->nodes[0].cut = true;
 			sim->nodes[1].cut = at_ms % 2;
@@ -760,17 +769,17 @@
 		}
 }
 
-/* VMs that the store turns away stay as they were, though others have the change. */
-static void play_turned_away(const bounds_t *bounds, manner_t manner, uint32_t watchers,
-			     uint32_t count, vms_t turned_away, uint64_t at_ms, uint64_t lead_ms)
+/* VMs that can't reach the store keep old data, although other VMs have the change. */
+static void run_cut_off(const bounds_t *bounds, failure_t failure, uint32_t watchers,
+			uint32_t count, vms_t cut_off, uint64_t at_ms, uint64_t lead_ms)
 {
 	const feed_timing_t timing = timing_of(bounds);
 	sim_t *sim = sim_new(&timing, count, watchers, (uint32_t)at_ms);
-	uint64_t away_us = START_US + at_ms * MS_US;
+	uint64_t outage_us = START_US + at_ms * MS_US;
 
-	introduce(sim, watchers);
-	play_away(sim, manner, turned_away, away_us, 60000 * MS_US);
-	run_until(sim, away_us + lead_ms * MS_US);
+	set_all_vms(sim, watchers);
+	add_outage(sim, failure, cut_off, outage_us, 60000 * MS_US);
+	run_until(sim, outage_us + lead_ms * MS_US);
 	for (int times = 0; times < 3; times++) {
 		change_all(sim);
 		run_until(sim, sim->now_us + bounds->apply_ms * MS_US);
@@ -779,58 +788,58 @@
 	sim_free(sim);
 }
 
-static void test_vms_that_are_turned_away_stay_behind(void **state)
+static void test_vms_that_cannot_reach_the_store_stay_behind(void **state)
 {
-	static const manner_t manners[] = {SILENT, BUSY, RESET, ANSWERS_LOST};
+	static const failure_t failures[] = {SILENT, BUSY, RESET, ANSWERS_LOST};
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
-		for (size_t manner = 0; manner < G_N_ELEMENTS(manners); manner++)
+		for (size_t failure = 0; failure < G_N_ELEMENTS(failures); failure++)
 			for (uint64_t at_ms = 9000; at_ms < 12000; at_ms += 371) {
 				uint64_t lead_ms = all_bounds[i].settle_ms + at_ms % 7 * 1100;
 
-				play_turned_away(&all_bounds[i], manners[manner], 4, 4, 8, at_ms,
-						 lead_ms);
-				play_turned_away(&all_bounds[i], manners[manner], 4, 4, 13, at_ms,
-						 lead_ms);
-				play_turned_away(&all_bounds[i], manners[manner], 2, 10, 0x3f0,
-						 at_ms, lead_ms);
-				play_turned_away(&all_bounds[i], manners[manner], 2, 10, 0x0ff,
-						 at_ms, lead_ms);
-				play_turned_away(&all_bounds[i], manners[manner], 12, 12, 0x7ff,
-						 at_ms, lead_ms);
+				run_cut_off(&all_bounds[i], failures[failure], 4, 4, 8, at_ms,
+					    lead_ms);
+				run_cut_off(&all_bounds[i], failures[failure], 4, 4, 13, at_ms,
+					    lead_ms);
+				run_cut_off(&all_bounds[i], failures[failure], 2, 10, 0x3f0, at_ms,
+					    lead_ms);
+				run_cut_off(&all_bounds[i], failures[failure], 2, 10, 0x0ff, at_ms,
+					    lead_ms);
+				run_cut_off(&all_bounds[i], failures[failure], 12, 12, 0x7ff, at_ms,
+					    lead_ms);
 			}
 }
 
-/* Nearly all are: whoever found the one that hears the store says so to the others. */
-static void test_one_vm_in_forty_hears_the_store(void **state)
+/* Only one VM reaches the store: a VM that has found it names it to the others. */
+static void test_one_vm_in_forty_reaches_the_store(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(all_bounds); i++)
 		for (uint64_t at_ms = 9000; at_ms < 10000; at_ms += 143)
-			play_turned_away(&all_bounds[i], BUSY, 40, 40, ALL_VMS >> 25, at_ms, 8000);
+			run_cut_off(&all_bounds[i], BUSY, 40, 40, ALL_VMS >> 25, at_ms, 8000);
 }
 
-/* Calls in an outage are counted, and all VMs make them: three in two seconds, beside two of each
- * kind at first, and three links to other VMs a second. */
-static void test_an_outage_is_tried_without_end(void **state)
+/* Bounds the calls of each VM in an outage, since all VMs make them: three in two seconds, two more
+ * of each kind at first, and three links to other VMs a second. */
+static void test_calls_in_an_outage_are_unbounded(void **state)
 {
 	static const bounds_t bounds = {3000, 5000};
 	const feed_timing_t timing = timing_of(&bounds);
 
 	(void)state;
-	for (int manner = 0; manner < MANNERS; manner++) {
+	for (int failure = 0; failure < FAILURES; failure++) {
 		sim_t *sim = sim_new(&timing, 6, 2, 1);
 
-		if (manner == SLOW) {
+		if (failure == SLOW) {
 			sim_free(sim);
 			continue;
 		}
-		introduce(sim, 2);
+		set_all_vms(sim, 2);
 		run_until(sim, START_US + 10000 * MS_US);
 		for (uint32_t i = 0; i < sim->count; i++)
 			sim->nodes[i].asked = sim->nodes[i].links = 0;
-		play_away(sim, (manner_t)manner, ALL_VMS, sim->now_us, 60000 * MS_US);
+		add_outage(sim, (failure_t)failure, ALL_VMS, sim->now_us, 60000 * MS_US);
 		run_until(sim, sim->now_us + 20000 * MS_US);
 		for (uint32_t i = 0; i < sim->count; i++) {
 			assert_in_range(sim->nodes[i].asked, 1, 30 + 2 * KINDS);
@@ -840,7 +849,8 @@
 	}
 }
 
-/* A VM that the store turns away can't read what its backup only announces: it asks the backup. */
+/* A VM that can't reach the store can't read an object that its backup only announces: it requests
+ * the object from the backup. */
 static void test_announced_change_is_read_from_a_store_that_refuses(void **state)
 {
 	static const bounds_t bounds = {3000, 5000};
@@ -849,8 +859,8 @@
 	node_t *node = &sim->nodes[3];
 
 	(void)state;
-	introduce(sim, 4);
-	play_away(sim, BUSY, 8, START_US + 9000 * MS_US, 60000 * MS_US);
+	set_all_vms(sim, 4);
+	add_outage(sim, BUSY, 8, START_US + 9000 * MS_US, 60000 * MS_US);
 	run_until(sim, START_US + 16000 * MS_US);
 	assert_non_null(store_sync_feed(node->sync));
 	store_sync_announced(node->sync, KIND_CONFIGURATION, sim->now_us);
@@ -863,17 +873,17 @@
 	sim_free(sim);
 }
 
-/* Once the store is heard again nobody goes on by a backup, and fed VMs are fed as before. */
-static void test_backups_are_left_when_the_store_is_back(void **state)
+/* After the store recovers no VM keeps a backup feed, and fed VMs are fed as before. */
+static void test_backups_are_kept_after_the_store_recovers(void **state)
 {
 	static const bounds_t bounds = {3000, 5000};
 	const feed_timing_t timing = timing_of(&bounds);
 	sim_t *sim = sim_new(&timing, 6, 2, 1);
 
 	(void)state;
-	introduce(sim, 2);
+	set_all_vms(sim, 2);
 	run_until(sim, START_US + 9000 * MS_US);
-	play_away(sim, BUSY, 0x0f, sim->now_us, 12000 * MS_US);
+	add_outage(sim, BUSY, 0x0f, sim->now_us, 12000 * MS_US);
 	run_until(sim, sim->now_us + 24000 * MS_US);
 	for (uint32_t i = 0; i < sim->count; i++) {
 		const store_sync_link_t *feed = store_sync_feed(sim->nodes[i].sync);
@@ -885,20 +895,20 @@
 	sim_free(sim);
 }
 
-/* Whatever happens, in any order and at once: when all is well again every VM hears the store. */
-static void play_troubles(const bounds_t *bounds, uint32_t count, uint32_t watchers, uint32_t seed)
+/* Random failures, in any order and overlapping: after they end every VM gets the latest change. */
+static void run_failures(const bounds_t *bounds, uint32_t count, uint32_t watchers, uint32_t seed)
 {
 	const feed_timing_t timing = timing_of(bounds);
 	sim_t *sim = sim_new(&timing, count, watchers, seed);
 	uint64_t end_us = START_US + 30000 * MS_US;
 
-	introduce(sim, watchers);
-	for (int i = 0; i < AWAYS_MOST; i++) {
+	set_all_vms(sim, watchers);
+	for (int i = 0; i < OUTAGES_MAX; i++) {
 		uint64_t from_us = START_US + g_rand_int_range(sim->rand, 500, 24000) * MS_US;
 		uint64_t for_us = g_rand_int_range(sim->rand, 20, 12000) * MS_US;
 
-		play_away(sim, (manner_t)g_rand_int_range(sim->rand, 0, MANNERS),
-			  g_rand_int(sim->rand), from_us, MIN(for_us, end_us - from_us));
+		add_outage(sim, (failure_t)g_rand_int_range(sim->rand, 0, FAILURES),
+			   g_rand_int(sim->rand), from_us, MIN(for_us, end_us - from_us));
 	}
 	while (sim->now_us < end_us) {
 		node_t *node = &sim->nodes[g_rand_int_range(sim->rand, 0, (gint32)count)];
@@ -918,7 +928,7 @@
 			store_sync_restored(node->sync, sim->now_us);
 			break;
 		case 4:
-			introduce(sim, watchers);
+			set_all_vms(sim, watchers);
 			break;
 		case 5:
 			silence_connections(sim, (vms_t)1 << node->number);
@@ -937,31 +947,31 @@
 	sim_free(sim);
 }
 
-static void test_vm_that_hears_nobody_after_troubles(void **state)
+static void test_vm_without_a_source_after_failures(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 400; seed++) {
-		play_troubles(&all_bounds[seed % G_N_ELEMENTS(all_bounds)], 6, 2, seed);
-		play_troubles(&all_bounds[seed % G_N_ELEMENTS(all_bounds)], 4, 4, seed);
+		run_failures(&all_bounds[seed % G_N_ELEMENTS(all_bounds)], 6, 2, seed);
+		run_failures(&all_bounds[seed % G_N_ELEMENTS(all_bounds)], 4, 4, seed);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_change_behind_an_outage_is_late),
-		cmocka_unit_test(test_change_behind_an_outage_is_late_on_fed_vms),
+		cmocka_unit_test(test_change_after_an_outage_is_late),
+		cmocka_unit_test(test_change_after_an_outage_is_late_on_fed_vms),
 		cmocka_unit_test(test_silent_connections_hide_a_change),
 		cmocka_unit_test(test_silent_connections_of_some_hide_a_change),
 		cmocka_unit_test(test_feeder_that_is_cut_off_hides_a_change),
-		cmocka_unit_test(test_old_news_of_a_feeder_hide_a_change),
-		cmocka_unit_test(test_feeder_that_stands_still_hides_a_change),
-		cmocka_unit_test(test_vms_that_are_turned_away_stay_behind),
-		cmocka_unit_test(test_one_vm_in_forty_hears_the_store),
-		cmocka_unit_test(test_an_outage_is_tried_without_end),
+		cmocka_unit_test(test_stale_feed_hides_a_change),
+		cmocka_unit_test(test_suspended_feeder_hides_a_change),
+		cmocka_unit_test(test_vms_that_cannot_reach_the_store_stay_behind),
+		cmocka_unit_test(test_one_vm_in_forty_reaches_the_store),
+		cmocka_unit_test(test_calls_in_an_outage_are_unbounded),
 		cmocka_unit_test(test_announced_change_is_read_from_a_store_that_refuses),
-		cmocka_unit_test(test_backups_are_left_when_the_store_is_back),
-		cmocka_unit_test(test_vm_that_hears_nobody_after_troubles),
+		cmocka_unit_test(test_backups_are_kept_after_the_store_recovers),
+		cmocka_unit_test(test_vm_without_a_source_after_failures),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
