--- a/tests/message_test.c
+++ b/tests/message_test.c
@@ -1,6 +1,6 @@
 /**
  * @file message_test.c
- * What the HTTP codec makes of requests and replies, whole and byte by byte.
+ * The HTTP codec: requests and replies, parsed at once and byte by byte.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,15 +11,15 @@
 
 #include <string.h>
 
-#define HEAD_MOST 256
-#define BODY_MOST 64
+#define HEAD_MAX 256
+#define BODY_MAX 64
 
 typedef struct message_case_t {
 	const char *what;
 	http_message_kind_t kind;
 	const char *bytes;
 	http_message_state_t state;
-	const char *body; /* of a whole one */
+	const char *body; /* of a whole message */
 	bool keeps_alive;
 } message_case_t;
 
@@ -78,7 +78,7 @@
 
 static http_message_t *message_new(http_message_kind_t kind)
 {
-	const http_message_limits_t limits = {.head_bytes = HEAD_MOST, .body_bytes = BODY_MOST};
+	const http_message_limits_t limits = {.head_bytes = HEAD_MAX, .body_bytes = BODY_MAX};
 
 	return http_message_new(kind, limits);
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-/* However the bytes are cut into reads, they mean the same. */
+/* The result does not depend on how the bytes are split into reads. */
 static void test_byte_by_byte(void **state)
 {
 	(void)state;
@@ -121,7 +121,7 @@
 
 static void test_head_limit(void **state)
 {
-	g_autofree char *long_value = g_strnfill(HEAD_MOST, 'x');
+	g_autofree char *long_value = g_strnfill(HEAD_MAX, 'x');
 	g_autofree char *text = g_strdup_printf("GET / HTTP/1.1\r\nX: %s\r\n\r\n", long_value);
 	http_message_t *message = message_new(REQUEST);
 
@@ -131,7 +131,7 @@
 	http_message_free(message);
 }
 
-/* Two requests on one connection: the second one's bytes are left for it. */
+/* Two requests on one connection: the bytes of the second are not consumed by the first. */
 static void test_pipelined(void **state)
 {
 	static const char text[] = "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
@@ -146,7 +146,7 @@
 	http_message_free(message);
 }
 
-/* A reply without a length is whole once its connection is closed in order, and not before. */
+/* A reply without a length is complete only when its connection is closed in order. */
 static void test_closed_reply(void **state)
 {
 	static const char text[] = "HTTP/1.1 200 OK\r\n\r\nab";
