--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -1,6 +1,6 @@
 /**
  * @file platform_test.c
- * The translation of the platform's store and headers.
+ * The conversion of the platform's store objects and HTTP headers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,7 +23,8 @@
 	return message;
 }
 
-/* Everything goes on unchanged but what concerns the one connection, and what is set anew. */
+/* All headers are forwarded unchanged, except those of the connection and those that are replaced.
+ */
 static void test_request_head(void **state)
 {
 	http_message_t *message =
@@ -82,7 +83,7 @@
 	{"1,0,99999999999999999999", false},
 };
 
-/* What a searcher tells of its load is a hint: one that can't be read changes nothing else. */
+/* The load that a searcher reports is a hint: a malformed one does not affect the reply. */
 static void test_loads(void **state)
 {
 	(void)state;
@@ -195,7 +196,8 @@
 	"{\"version\":1,\"routes\":[{\"name\":\"n\",\"host\":\"h\",\"path-prefix\":\"/\","         \
 	"\"service\":\"s\",\"allowed-regions\":" regions "}]}"
 
-/* What refuses a call may be no store at all, and one without eras never came back from a copy. */
+/* An error without an era may come from something else than the store; a store without eras was
+ * never restored from an older copy. */
 static void test_eras(void **state)
 {
 	err_t err = {0};
@@ -213,8 +215,9 @@
 	assert_int_equal(era, 0);
 }
 
-/* A region that no data centre is in stays a bound: the operator is told, and nobody serves it. */
-static void test_strange_regions(void **state)
+/* A region without any data centre still restricts its route: no VM serves it, and the operator is
+ * warned. */
+static void test_regions_without_data_centre(void **state)
 {
 	json_t *json = json_loads(configuration, 0, NULL);
 	GHashTable *regions = g_hash_table_new(g_str_hash, g_str_equal);
@@ -293,9 +296,9 @@
 	json_decref(json);
 }
 
-/* Another writer has put something into the list. Taken for a searcher, it would be sent requests:
- * to an address that is none, with an id that breaks a header in two, or as ready though it said
- * something else. Each row changes one field of a good entry; null takes it away. */
+/* Entries that another program wrote into the list. Accepted as a searcher, such an entry would get
+ * requests: at an invalid address, with an id that splits a header, or as ready although its state
+ * is another. Each row changes one field of a valid entry; null removes it. */
 static const struct {
 	const char *field;
 	const char *value;
@@ -338,7 +341,7 @@
 	{"born", "[]"},
 };
 
-static void test_foreign_entries(void **state)
+static void test_invalid_searcher_entries(void **state)
 {
 	static const char *const ids[] = {"", "a b", "a\r\nX: 1", "\303\244", "a\tb"};
 	searcher_entry_t entry;
@@ -370,8 +373,8 @@
 	}
 }
 
-/* A page in which one entry is damaged is read all the same, and that one by its name: whoever used
- * it must learn that it names no searcher any more. */
+/* A page with one damaged entry is still read, and that entry with its name: VMs that used its
+ * searcher must learn that the name has no valid entry any more. */
 static void test_damaged_pages(void **state)
 {
 	static const char *const damages[] = {
@@ -455,7 +458,7 @@
 	json_decref(none);
 }
 
-/* A VM's own object is read back as it was written. */
+/* A VM's object is read as it was written. */
 static void test_vm(void **state)
 {
 	const vm_t vm = {.name = "vm-1",
@@ -524,7 +527,7 @@
 	json_decref(json);
 }
 
-/* Each claim is an object that the store creates once. */
+/* Each claim is an object of its own, which the store creates only once. */
 static void test_claim(void **state)
 {
 	g_autofree char *create = store_claim_target(0xabc, 0);
@@ -541,8 +544,8 @@
 	json_decref(json);
 }
 
-/* Entries of another writer refuse nobody. */
-static void test_poison_of_others(void **state)
+/* Invalid entries of another program block no request. */
+static void test_invalid_poison_entries(void **state)
 {
 	static const char *const contents[] = {
 		"{}",
@@ -560,14 +563,14 @@
 
 	(void)state;
 	assert_true(read_poison("0000000000000abc", sound, &news));
-	assert_int_equal(news.trials, 0); /* a daemon of an earlier version counts none */
+	assert_int_equal(news.trials, 0); /* daemons of an earlier version do not write it */
 	assert_false(read_poison("abc", sound, &news));
 	assert_false(read_poison("0000000000000000", sound, &news));
 	for (size_t i = 0; i < G_N_ELEMENTS(contents); i++)
 		assert_false(read_poison("0000000000000abc", contents[i], &news));
 }
 
-/* A daemon of an earlier version says nothing of its processor, and gathers for nobody. */
+/* A daemon of an earlier version does not publish its processor, and gathers for no other VM. */
 static void test_earlier_vm(void **state)
 {
 	json_t *json = json_pack("{s:s,s:s,s:i,s:i}", "data_centre", "z", "ip", "10.0.0.1",
@@ -603,15 +606,24 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_request_head),	cmocka_unit_test(test_replies),
-		cmocka_unit_test(test_loads),		cmocka_unit_test(test_routing),
-		cmocka_unit_test(test_strange_regions), cmocka_unit_test(test_eras),
-		cmocka_unit_test(test_bad_routing),	cmocka_unit_test(test_searcher),
-		cmocka_unit_test(test_pages),		cmocka_unit_test(test_vm),
-		cmocka_unit_test(test_earlier_vm),	cmocka_unit_test(test_poison),
-		cmocka_unit_test(test_claim),		cmocka_unit_test(test_poison_of_others),
-		cmocka_unit_test(test_targets),		cmocka_unit_test(test_foreign_entries),
-		cmocka_unit_test(test_damaged_pages),	cmocka_unit_test(test_salvage),
+		cmocka_unit_test(test_request_head),
+		cmocka_unit_test(test_replies),
+		cmocka_unit_test(test_loads),
+		cmocka_unit_test(test_routing),
+		cmocka_unit_test(test_regions_without_data_centre),
+		cmocka_unit_test(test_eras),
+		cmocka_unit_test(test_bad_routing),
+		cmocka_unit_test(test_searcher),
+		cmocka_unit_test(test_pages),
+		cmocka_unit_test(test_vm),
+		cmocka_unit_test(test_earlier_vm),
+		cmocka_unit_test(test_poison),
+		cmocka_unit_test(test_claim),
+		cmocka_unit_test(test_invalid_poison_entries),
+		cmocka_unit_test(test_targets),
+		cmocka_unit_test(test_invalid_searcher_entries),
+		cmocka_unit_test(test_damaged_pages),
+		cmocka_unit_test(test_salvage),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
