--- a/src/core/hearing.h
+++ b/src/core/hearing.h
@@ -94,7 +94,8 @@
 void store_sync_start(store_sync_t *sync, uint64_t now_us);
 /** The data may be old, for example because this VM was suspended: read it anew. */
 void store_sync_refresh(store_sync_t *sync, uint64_t now_us);
-/** The store was restored from a backup copy: its revisions no longer match those known here. */
+/** The store was restored from an older copy of its data: its revisions no longer match those
+ * known here. */
 void store_sync_restored(store_sync_t *sync, uint64_t now_us);
 /**
  * Set the feeders and backups after a change of the list of VMs.
--- a/src/core/hearing_private.h
+++ b/src/core/hearing_private.h
@@ -36,7 +36,7 @@
 	sync_kind_t *probe_kind;
 	GPtrArray *feeders;	      /* names */
 	GPtrArray *backups;	      /* names */
-	uint32_t feeders_tried;	      /* feeders tried in vain so far */
+	uint32_t feeders_tried;	      /* number of feeders tried so far; selects the next */
 	store_sync_link_t *feed;      /* the link in use; NULL: none */
 	store_sync_link_t *candidate; /* the link being tried; NULL: none */
 	bool is_feeder;		      /* other VMs are to subscribe to this VM */
@@ -45,9 +45,9 @@
 	bool timed_out;		      /* a call since then timed out */
 	bool probing;		      /* only the probed kind is requested */
 	bool unreachable;	      /* no source reaches the store */
-	bool feeder_cut_off;	      /* the feeder does not reach the store */
+	bool feeder_cut_off;	      /* the feeder in use does not reach the store */
 	bool checking;		      /* a store check is pending */
-	uint32_t failed_checks;	      /* failed store checks since the feeder was cut off */
+	uint32_t failed_checks;	      /* failed store checks in a row */
 	uint64_t feed_last_answer_us; /* when the store last answered a feeder, by its status */
 	char *suggested_backup;	      /* the VM that a rejected backup says feeds it; NULL: none */
 	uint32_t backups_tried;	      /* in total */
