--- a/src/core/hop_message.c
+++ b/src/core/hop_message.c
@@ -178,16 +178,16 @@
 	return decoded;
 }
 
-framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
-			   hop_message_handler_t handler, void *ctx)
+framing_result_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
+				  hop_message_handler_t handler, void *ctx)
 {
 	framing_payload_t payload;
-	framing_t found = framing_split(data, bytes, HOP_FRAME_MAX_BYTES, &payload);
+	framing_result_t found = framing_split(data, bytes, HOP_FRAME_MAX_BYTES, &payload);
 
-	if (found != FRAMING_ONE)
+	if (found != FRAMING_COMPLETE)
 		return found;
 	*used = FRAMING_LENGTH_BYTES + payload.bytes;
-	return decode_payload(payload, handler, ctx) ? FRAMING_ONE : FRAMING_BAD;
+	return decode_payload(payload, handler, ctx) ? FRAMING_COMPLETE : FRAMING_INVALID;
 }
 
 const char *hop_reason_name(hop_reason_t reason)
--- a/src/core/hop_message.h
+++ b/src/core/hop_message.h
@@ -97,8 +97,8 @@
 typedef void (*hop_message_handler_t)(void *ctx, const hop_message_t *message);
 
 /** Reads the first message of @p data; @p used is set when it is complete. */
-framing_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
-			   hop_message_handler_t handler, void *ctx);
+framing_result_t hop_message_read(const uint8_t *data, size_t bytes, size_t *used,
+				  hop_message_handler_t handler, void *ctx);
 const char *hop_reason_name(hop_reason_t reason);
 
 #endif
--- a/src/tasks/config_task.c
+++ b/src/tasks/config_task.c
@@ -76,12 +76,12 @@
 	config_task_t *task = ctx;
 
 	/* Before the first configuration every VM watches: there is nothing to lose by it. */
-	if (task->watches && adoption_number(query_task_active_config(task->queries)) &&
+	if (task->watches && active_config_number(query_task_active_config(task->queries)) &&
 	    !task->watches(task->watches_ctx))
 		platform_task_read(task->platform, CONFIG_PATH, on_periodic_read, task);
 	else
 		platform_task_watch(task->platform, CONFIG_PATH,
-				    adoption_number(query_task_active_config(task->queries)),
+				    active_config_number(query_task_active_config(task->queries)),
 				    on_watch, task);
 }
 
@@ -141,7 +141,7 @@
 			    pending);
 }
 
-static void do_ended(void *ctx, proposal_t *proposal, proposal_end_t outcome, uint64_t number,
+static void do_ended(void *ctx, proposal_t *proposal, proposal_outcome_t outcome, uint64_t number,
 		     const char *other)
 {
 	pending_proposal_t *pending = ctx;
@@ -166,9 +166,9 @@
 			 json_t *config, config_done_f done, void *ctx)
 {
 	static const proposal_ops_t ops = {.read = do_read, .write = do_write, .ended = do_ended};
-	const adoption_t *adoption = query_task_active_config(task->queries);
+	const active_config_t *adoption = query_task_active_config(task->queries);
 	pending_proposal_t *pending = g_new0(pending_proposal_t, 1);
-	const json_t *history = adoption_number(adoption) == base
+	const json_t *history = active_config_number(adoption) == base
 					? json_object_get(adoption->value, "history")
 					: NULL;
 
--- a/src/tasks/config_task.h
+++ b/src/tasks/config_task.h
@@ -14,7 +14,7 @@
 
 /** Result of a proposal; strings are borrowed. */
 typedef struct config_proposal_result_t {
-	proposal_end_t outcome;
+	proposal_outcome_t outcome;
 	uint64_t number;
 	const char *other; /**< conflict: who proposed the accepted configuration; may be NULL */
 } config_proposal_result_t;
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -20,7 +20,7 @@
 	uint32_t link_mbps;
 	GQueue requests; /* object_request_t */
 	loop_timer_t request_timer;
-	feed_book_t **caches; /* by kind */
+	feed_cache_t **caches; /* by kind */
 	uint32_t kinds;
 	GPtrArray *subscribers; /* subscriber_t */
 	GByteArray *frame;	/* scratch buffer for frames to send */
@@ -104,7 +104,7 @@
 
 	if (!request)
 		return;
-	if (feed_book_find(server->caches[request->kind], request->name, &message)) {
+	if (feed_cache_find(server->caches[request->kind], request->name, &message)) {
 		g_byte_array_set_size(server->frame, 0);
 		feed_message_write(server->frame, &message);
 		sock_write(request->subscriber->sock, server->frame->data, server->frame->len);
@@ -112,7 +112,7 @@
 	}
 	object_request_free(request);
 	loop_timer_set(server->loop, &server->request_timer,
-		       feed_pause_us(bytes, server->link_mbps));
+		       feed_request_pause_us(bytes, server->link_mbps));
 }
 
 static bool is_requested(const subscriber_t *subscriber, const feed_message_t *message)
@@ -148,11 +148,11 @@
 	subscriber_t *subscriber = ctx;
 	feed_server_t *server = subscriber->server;
 
-	if (message->type == FEED_ASK) {
+	if (message->type == FEED_REQUEST) {
 		enqueue_object_request(subscriber, message);
 		return;
 	}
-	if (message->type != FEED_SIGHTING) {
+	if (message->type != FEED_OBSERVATION) {
 		g_info("event=feed-message-ignored type=%d reason=not-for-feeders", message->type);
 		return;
 	}
@@ -160,7 +160,7 @@
 	relay_message(server, subscriber, message);
 }
 
-static framing_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
+static framing_result_t read_message(void *ctx, const uint8_t *data, size_t bytes, size_t *used)
 {
 	return feed_message_read(data, bytes, used, on_message, ctx);
 }
@@ -169,7 +169,7 @@
 {
 	subscriber_t *subscriber = ctx;
 
-	if (framing_reader_take(subscriber->reader, data, bytes))
+	if (framing_reader_add(subscriber->reader, data, bytes))
 		return;
 	g_message("event=subscriber-lost reason=garbage");
 	sock_close(subscriber->sock);
@@ -202,8 +202,8 @@
 	 * A subscriber leaves a feeder that is cut off from the store at once: sending the lists
 	 * would only occupy the network link.
 	 */
-	for (uint32_t kind = 0; kind < server->kinds && !(has_status && status.away); kind++)
-		feed_book_write(server->caches[kind], server->frame);
+	for (uint32_t kind = 0; kind < server->kinds && !(has_status && status.unreliable); kind++)
+		feed_cache_write(server->caches[kind], server->frame);
 	sock_write(sock, server->frame->data, server->frame->len);
 }
 
@@ -218,9 +218,9 @@
 	server->ops = ops;
 	server->ctx = ctx;
 	server->kinds = kinds;
-	server->caches = g_new0(feed_book_t *, kinds);
+	server->caches = g_new0(feed_cache_t *, kinds);
 	for (uint32_t kind = 0; kind < kinds; kind++)
-		server->caches[kind] = feed_book_new(kind);
+		server->caches[kind] = feed_cache_new(kind);
 	server->subscribers = g_ptr_array_new();
 	server->frame = g_byte_array_new();
 	if (listener_new(loop, address, port, on_accepted, server))
@@ -235,9 +235,9 @@
 {
 	feed_message_t sent = *message;
 
-	if (message->type < FEED_NEWS && message->kind < server->kinds)
-		feed_book_take(server->caches[message->kind], message);
-	if (message->type == FEED_CHANGED)
+	if (message->type < FEED_STATUS && message->kind < server->kinds)
+		feed_cache_apply(server->caches[message->kind], message);
+	if (message->type == FEED_ANNOUNCED)
 		sent.text = "";
 	relay_message(server, NULL, &sent);
 }
@@ -255,5 +255,5 @@
 void feed_server_clear(feed_server_t *server)
 {
 	for (uint32_t kind = 0; kind < server->kinds; kind++)
-		feed_book_clear(server->caches[kind]);
+		feed_cache_clear(server->caches[kind]);
 }
--- a/src/tasks/follower.h
+++ b/src/tasks/follower.h
@@ -22,13 +22,13 @@
 	void (*object)(void *ctx, const store_object_t *object);
 	void (*list_end)(void *ctx);
 	/** The call has ended, and all objects of its reply were passed on. */
-	void (*ended)(void *ctx, hearing_end_t result);
+	void (*ended)(void *ctx, store_sync_result_t result);
 } follower_ops_t;
 
 follower_t *follower_new(platform_task_t *platform, store_kind_t kind, const follower_ops_t *ops,
 			 void *ctx);
 /** Send a call. A call that is still outstanding is cancelled. */
-void follower_call(follower_t *follower, const hearing_call_t *call);
+void follower_call(follower_t *follower, const store_sync_call_t *call);
 /** Cancel the outstanding call, if any: `ended` is not called for it. */
 void follower_cancel(follower_t *follower);
 /** Cancel the outstanding call; the next list call reads the list from its start. */
--- a/src/tasks/query_task.h
+++ b/src/tasks/query_task.h
@@ -44,7 +44,7 @@
 
 /** For operators' status queries and the caller task's routing; read only. */
 const engine_t *query_task_engine(const query_task_t *task);
-const adoption_t *query_task_active_config(const query_task_t *task);
+const active_config_t *query_task_active_config(const query_task_t *task);
 /** Whether this VM can serve: it has a configuration and knows the status of all searchers. */
 bool query_task_ready(const query_task_t *task);
 /** Whether no query or claim is in progress, so that the process may exit. */
--- a/src/tasks/supply_task.c
+++ b/src/tasks/supply_task.c
@@ -67,7 +67,7 @@
 	GHashTable *regions; /* data centre to region */
 	synced_kind_t kinds[FED_KINDS_MAX];
 	uint32_t kind_count;
-	hearing_t *store_sync;
+	store_sync_t *store_sync;
 	loop_timer_t sync_timer;
 	feed_server_t *server;
 	bool shares_observations; /* the region has enough VMs for sharing to be useful */
@@ -81,11 +81,11 @@
 /** A connection to a feeder. */
 typedef struct feed_connection_t {
 	store_sync_task_t *task;
-	hearing_link_t *link;
+	store_sync_link_t *link;
 	feed_client_t *client;
 } feed_connection_t;
 
-static feed_client_t *feed_client_of(const hearing_link_t *link)
+static feed_client_t *feed_client_of(const store_sync_link_t *link)
 {
 	return ((const feed_connection_t *)link->data)->client;
 }
@@ -93,7 +93,7 @@
 /* To be called after each call into the store sync, which may have changed its next timer. */
 static void arm_sync_timer(store_sync_task_t *task)
 {
-	uint64_t next_us = hearing_next_us(task->store_sync), now_us = loop_now_us();
+	uint64_t next_us = store_sync_next_us(task->store_sync), now_us = loop_now_us();
 
 	if (next_us == TIMERS_NEVER)
 		loop_timer_cancel(&task->sync_timer);
@@ -106,7 +106,7 @@
 {
 	store_sync_task_t *task = ctx;
 
-	hearing_run(task->store_sync, loop_now_us());
+	store_sync_run(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -119,13 +119,13 @@
 	char *text;
 	bool fits;
 
-	if (!hearing_follows(task->store_sync))
+	if (!store_sync_watches(task->store_sync))
 		return;
 	text = object ? json_dumps(object->content, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
-	fits = text && feed_may_tell(strlen(text), feed_server_subscribers(task->server),
-				     member_task_own(task->members)->link_mbps);
+	fits = text && feed_sends_whole(strlen(text), feed_server_subscribers(task->server),
+					member_task_own(task->members)->link_mbps);
 	if (type == FEED_OBJECT && text && !fits)
-		type = FEED_CHANGED;
+		type = FEED_ANNOUNCED;
 	if (type == FEED_REMOVED && !fits)
 		g_clear_pointer(&text, free);
 	message = (feed_message_t){.type = type,
@@ -161,19 +161,19 @@
 	kind->task->ops->list_end(kind->task->ctx, kind->kind);
 }
 
-static void on_call_ended(void *ctx, hearing_end_t result)
+static void on_call_ended(void *ctx, store_sync_result_t result)
 {
 	synced_kind_t *kind = ctx;
 
-	if (result == HEARING_LISTED)
+	if (result == STORE_SYNC_LISTED)
 		g_hash_table_remove_all(kind->announced);
-	hearing_replied(kind->task->store_sync, kind->kind, result, loop_now_us());
+	store_sync_call_ended(kind->task->store_sync, kind->kind, result, loop_now_us());
 	arm_sync_timer(kind->task);
 }
 
 /* ---- calls to the store ---- */
 
-static void on_call(void *ctx, uint32_t kind, const hearing_call_t *call)
+static void on_call(void *ctx, uint32_t kind, const store_sync_call_t *call)
 {
 	follower_call(((store_sync_task_t *)ctx)->kinds[kind].follower, call);
 }
@@ -210,7 +210,7 @@
 	       reached ? "reached" : "away");
 	if (reached)
 		apply_store_check(task, result);
-	hearing_looked(task->store_sync, reached, loop_now_us());
+	store_sync_check_ended(task->store_sync, reached, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -274,7 +274,7 @@
 static void send_observations(void *ctx)
 {
 	store_sync_task_t *task = ctx;
-	const hearing_link_t *feed = hearing_feed(task->store_sync);
+	const store_sync_link_t *feed = store_sync_feed(task->store_sync);
 
 	if (feed)
 		feed_client_write(feed_client_of(feed), task->observations);
@@ -286,7 +286,7 @@
 void store_sync_task_publish(store_sync_task_t *task, const observation_t *observation)
 {
 	char born[24];
-	const feed_message_t message = {.type = FEED_SIGHTING,
+	const feed_message_t message = {.type = FEED_OBSERVATION,
 					.kind = observation->type,
 					.name = observation->searcher,
 					.text = born,
@@ -303,7 +303,8 @@
 
 /* ---- links to feeders ---- */
 
-static void receive_change(synced_kind_t *kind, hearing_link_t *link, const feed_message_t *message)
+static void receive_change(synced_kind_t *kind, store_sync_link_t *link,
+			   const feed_message_t *message)
 {
 	store_sync_task_t *task = kind->task;
 
@@ -313,21 +314,21 @@
 		break;
 	case FEED_LIST_END:
 		pass_list_end(kind);
-		hearing_link_listed(task->store_sync, link, kind->kind, loop_now_us());
+		store_sync_link_listed(task->store_sync, link, kind->kind, loop_now_us());
 		break;
-	case FEED_CHANGED:
+	case FEED_ANNOUNCED:
 		g_message("event=feed-announced kind=%s name=%s outcome=read-from-store",
 			  store_kind_name(kind->kind), message->name);
 		g_hash_table_insert(kind->announced, g_strdup(message->name),
 				    g_new0(announced_t, 1));
-		hearing_announced(task->store_sync, kind->kind, loop_now_us());
+		store_sync_announced(task->store_sync, kind->kind, loop_now_us());
 		break;
 	case FEED_OBJECT:
 	case FEED_REMOVED:
 		receive_object(kind, message);
 		if (g_hash_table_remove(kind->announced, message->name) &&
 		    !g_hash_table_size(kind->announced))
-			hearing_told(task->store_sync, kind->kind);
+			store_sync_announced_received(task->store_sync, kind->kind);
 		break;
 	default:
 		g_info("event=feed-message-ignored type=%d reason=not-for-subscribers",
@@ -337,10 +338,12 @@
 
 static void receive_feed_status(feed_connection_t *connection, const feed_message_t *message)
 {
-	const hearing_news_t status = {
-		.away = message->away, .age_us = message->age_us, .from = message->name};
+	const store_sync_status_t status = {.unreliable = message->unreliable,
+					    .age_us = message->age_us,
+					    .from = message->name};
 
-	hearing_link_news(connection->task->store_sync, connection->link, &status, loop_now_us());
+	store_sync_link_status(connection->task->store_sync, connection->link, &status,
+			       loop_now_us());
 }
 
 /*
@@ -354,12 +357,12 @@
 
 	/* The feeder does not know yet that the store was restored: its next list will be of the
 	 * current era, or its feed becomes stale. */
-	if (message->type != FEED_SIGHTING &&
+	if (message->type != FEED_OBSERVATION &&
 	    platform_task_observe_era(task->platform, message->era) == STORE_ERA_OLDER)
 		return;
-	if (message->type == FEED_NEWS)
+	if (message->type == FEED_STATUS)
 		receive_feed_status(connection, message);
-	else if (message->type == FEED_SIGHTING)
+	else if (message->type == FEED_OBSERVATION)
 		receive_observation(task, message);
 	else if (message->kind < task->kind_count)
 		receive_change(&task->kinds[message->kind], connection->link, message);
@@ -371,11 +374,11 @@
 	feed_connection_t *connection = ctx;
 	store_sync_task_t *task = connection->task;
 
-	hearing_link_ended(task->store_sync, connection->link, reason, loop_now_us());
+	store_sync_link_ended(task->store_sync, connection->link, reason, loop_now_us());
 	arm_sync_timer(task);
 }
 
-static bool on_open(void *ctx, hearing_link_t *link)
+static bool on_open(void *ctx, store_sync_link_t *link)
 {
 	static const feed_client_ops_t ops = {.message = on_feed_message, .ended = on_feed_ended};
 	store_sync_task_t *task = ctx;
@@ -392,12 +395,12 @@
 	return connection->client != NULL;
 }
 
-static void on_close(void *ctx, hearing_link_t *link, const char *reason)
+static void on_close(void *ctx, store_sync_link_t *link, const char *reason)
 {
 	store_sync_task_t *task = ctx;
 	feed_connection_t *connection = link->data;
 
-	if (hearing_feed(task->store_sync) == link)
+	if (store_sync_feed(task->store_sync) == link)
 		g_message("event=feed-lost vm=%s reason=%s age_us=%" G_GUINT64_FORMAT, link->vm,
 			  reason, store_sync_task_age_us(task));
 	else
@@ -407,7 +410,7 @@
 	g_free(connection);
 }
 
-static void on_request_objects(void *ctx, hearing_link_t *link, uint32_t number)
+static void on_request_objects(void *ctx, store_sync_link_t *link, uint32_t number)
 {
 	store_sync_task_t *task = ctx;
 	g_autoptr(GByteArray) frames = g_byte_array_new();
@@ -419,7 +422,7 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		announced_t *announced = value;
 		const feed_message_t message = {
-			.type = FEED_ASK, .kind = number, .name = name, .text = ""};
+			.type = FEED_REQUEST, .kind = number, .name = name, .text = ""};
 
 		if (announced->requested_us && now_us < announced->requested_us + REQUEST_RETRY_US)
 			continue;
@@ -431,7 +434,7 @@
 	feed_client_write(feed_client_of(link), frames);
 }
 
-static void on_feed_accepted(void *ctx, const hearing_link_t *link)
+static void on_feed_accepted(void *ctx, const store_sync_link_t *link)
 {
 	store_sync_task_t *task = ctx;
 
@@ -446,7 +449,7 @@
 {
 	store_sync_task_t *task = ctx;
 
-	hearing_answered(task->store_sync, answered, loop_now_us());
+	store_sync_other_call_ended(task->store_sync, answered, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -460,7 +463,7 @@
 								task->timing.evacuation_watch_ms};
 
 	for (uint32_t i = 0; i < task->kind_count; i++)
-		hearing_set_wait(task->store_sync, i, watch_times_ms[i]);
+		store_sync_set_wait(task->store_sync, i, watch_times_ms[i]);
 }
 
 static void on_members(void *ctx)
@@ -468,13 +471,13 @@
 	store_sync_task_t *task = ctx;
 	const vm_t *own = member_task_own(task->members);
 	const feed_vms_t all = {.vms = member_task_vms(task->members), .regions = task->regions};
-	g_autoptr(GPtrArray) feeders = feed_choose(&all, own->name, own->data_centre);
-	g_autoptr(GPtrArray) backups = feed_backups(&all, own->name, own->data_centre);
+	g_autoptr(GPtrArray) feeders = feed_choose_feeders(&all, own->name, own->data_centre);
+	g_autoptr(GPtrArray) backups = feed_choose_backups(&all, own->name, own->data_centre);
 
 	task->shares_observations = feed_is_used(&all, own->data_centre);
 	set_watch_times(task, task->shares_observations && !feeders->len);
-	hearing_set_vms(task->store_sync, feeders, backups,
-			task->shares_observations && !feeders->len, loop_now_us());
+	store_sync_set_vms(task->store_sync, feeders, backups,
+			   task->shares_observations && !feeders->len, loop_now_us());
 	arm_sync_timer(task);
 	task->ops->members(task->ctx);
 }
@@ -483,13 +486,13 @@
 
 static feed_message_t current_feed_status(const store_sync_task_t *task)
 {
-	const hearing_news_t status = hearing_news(task->store_sync, loop_now_us());
+	const store_sync_status_t status = store_sync_status(task->store_sync, loop_now_us());
 
-	return (feed_message_t){.type = FEED_NEWS,
+	return (feed_message_t){.type = FEED_STATUS,
 				.name = status.from,
 				.text = "",
 				.age_us = status.age_us,
-				.away = status.away,
+				.unreliable = status.unreliable,
 				.era = platform_task_era(task->platform)};
 }
 
@@ -508,15 +511,15 @@
 	store_sync_task_t *task = ctx;
 
 	*status = current_feed_status(task);
-	return hearing_is_known(task->store_sync);
+	return store_sync_has_data(task->store_sync);
 }
 
 static void on_restored(void *ctx)
 {
 	store_sync_task_t *task = ctx;
 
-	task->ops->restored(task->ctx, hearing_follows(task->store_sync));
-	hearing_restored(task->store_sync, loop_now_us());
+	task->ops->restored(task->ctx, store_sync_watches(task->store_sync));
+	store_sync_restored(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 	member_task_restored(task->members);
 }
@@ -541,27 +544,27 @@
 
 static void start_sync(store_sync_task_t *task)
 {
-	static const hearing_ops_t ops = {.ask = on_call,
-					  .cancel = on_cancel,
-					  .list_anew = on_restart_list,
-					  .look = on_store_check,
-					  .open = on_open,
-					  .close = on_close,
-					  .ask_link = on_request_objects,
-					  .taken = on_feed_accepted,
-					  .lost = on_lost,
-					  .back = on_recovered};
-	static const hearing_kind_t kinds[FED_KINDS_MAX] = {
-		[STORE_SEARCHERS] = {.group_us = CHANGE_GROUP_US, .often = true},
-		[STORE_CONFIGURATION] = {.group_us = OPERATOR_CHANGE_GROUP_US, .often = true},
+	static const store_sync_ops_t ops = {.call = on_call,
+					     .cancel = on_cancel,
+					     .restart_list = on_restart_list,
+					     .check_store = on_store_check,
+					     .open = on_open,
+					     .close = on_close,
+					     .request_announced = on_request_objects,
+					     .feed_changed = on_feed_accepted,
+					     .unreachable = on_lost,
+					     .recovered = on_recovered};
+	static const store_sync_kind_t kinds[FED_KINDS_MAX] = {
+		[STORE_SEARCHERS] = {.group_us = CHANGE_GROUP_US, .frequent = true},
+		[STORE_CONFIGURATION] = {.group_us = OPERATOR_CHANGE_GROUP_US, .frequent = true},
 		[STORE_POISON] = {.group_us = OPERATOR_CHANGE_GROUP_US},
 		[STORE_EVACUATIONS] = {.group_us = OPERATOR_CHANGE_GROUP_US}};
 
 	task->sync_timer = (loop_timer_t){.fire = run_sync, .ctx = task};
-	task->store_sync = hearing_new(&task->timing, kinds, task->kind_count, STORE_CONFIGURATION,
-				       &ops, task, g_random_int());
+	task->store_sync = store_sync_new(&task->timing, kinds, task->kind_count,
+					  STORE_CONFIGURATION, &ops, task, g_random_int());
 	set_watch_times(task, false);
-	hearing_start(task->store_sync, loop_now_us());
+	store_sync_start(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -609,13 +612,13 @@
 
 void store_sync_task_refresh(store_sync_task_t *task)
 {
-	hearing_refresh(task->store_sync, loop_now_us());
+	store_sync_refresh(task->store_sync, loop_now_us());
 	arm_sync_timer(task);
 }
 
 void store_sync_task_read_configuration(store_sync_task_t *task)
 {
-	hearing_catch_up(task->store_sync, STORE_CONFIGURATION, loop_now_us());
+	store_sync_catch_up(task->store_sync, STORE_CONFIGURATION, loop_now_us());
 	arm_sync_timer(task);
 }
 
@@ -631,7 +634,7 @@
 
 uint64_t store_sync_task_age_us(const store_sync_task_t *task)
 {
-	return hearing_age_us(task->store_sync, loop_now_us());
+	return store_sync_age_us(task->store_sync, loop_now_us());
 }
 
 uint32_t store_sync_task_kind_count(const store_sync_task_t *task)
@@ -641,12 +644,12 @@
 
 uint64_t store_sync_task_kind_age_us(const store_sync_task_t *task, store_kind_t kind)
 {
-	return hearing_kind_age_us(task->store_sync, kind, loop_now_us());
+	return store_sync_kind_age_us(task->store_sync, kind, loop_now_us());
 }
 
 bool store_sync_task_is_fed(const store_sync_task_t *task)
 {
-	return hearing_feed(task->store_sync) != NULL;
+	return store_sync_feed(task->store_sync) != NULL;
 }
 
 uint64_t store_sync_task_era(const store_sync_task_t *task)
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -367,7 +367,7 @@
 	}
 	for (guint i = 0; i < vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(vms, i);
-		g_autoptr(GPtrArray) chosen = feed_choose(&all, vm->name, vm->data_centre);
+		g_autoptr(GPtrArray) chosen = feed_choose_feeders(&all, vm->name, vm->data_centre);
 
 		watchers[g_str_equal(vm->data_centre, "there")] += chosen->len == 0;
 		if (chosen->len)
@@ -389,7 +389,7 @@
 	g_autoptr(GHashTable) regions = g_hash_table_new(g_str_hash, g_str_equal);
 	const feed_vms_t all_few = {.vms = few, .regions = regions};
 	const feed_vms_t all_many = {.vms = many, .regions = regions};
-	GPtrArray *chosen = feed_choose(&all_few, "vm-1", "here");
+	GPtrArray *chosen = feed_choose_feeders(&all_few, "vm-1", "here");
 	GHashTable *loads = g_hash_table_new(g_str_hash, g_str_equal);
 	int watchers = 0;
 
@@ -399,7 +399,8 @@
 	for (guint i = 0; i < many->len; i++) {
 		vm_t *first;
 
-		chosen = feed_choose(&all_many, ((vm_t *)g_ptr_array_index(many, i))->name, "here");
+		chosen = feed_choose_feeders(&all_many, ((vm_t *)g_ptr_array_index(many, i))->name,
+					     "here");
 		watchers += chosen->len == 0;
 		if (chosen->len) {
 			first = g_ptr_array_index(chosen, 0);
@@ -413,7 +414,7 @@
 	}
 	assert_int_equal(watchers, 4);
 	assert_int_equal(g_hash_table_size(loads), 4);
-	chosen = feed_choose(&all_many, "vm-1", "elsewhere");
+	chosen = feed_choose_feeders(&all_many, "vm-1", "elsewhere");
 	assert_int_equal(chosen->len, 0);
 	g_ptr_array_unref(chosen);
 	g_hash_table_unref(loads);
@@ -428,12 +429,12 @@
 static void test_feed_sizes(void **state)
 {
 	(void)state;
-	assert_true(feed_may_tell(30000, 16, 200));
-	assert_false(feed_may_tell(30000, 16, 14));
-	assert_true(feed_may_tell(300, 16, 14));
-	assert_true(feed_may_tell(24000, 2, 0));
-	assert_false(feed_may_tell(24000, 16, 0));
-	assert_false(feed_may_tell(550000, 0, 1000));
+	assert_true(feed_sends_whole(30000, 16, 200));
+	assert_false(feed_sends_whole(30000, 16, 14));
+	assert_true(feed_sends_whole(300, 16, 14));
+	assert_true(feed_sends_whole(24000, 2, 0));
+	assert_false(feed_sends_whole(24000, 16, 0));
+	assert_false(feed_sends_whole(550000, 0, 1000));
 }
 
 /*
@@ -447,19 +448,19 @@
 	const feed_timing_t timing = feed_timing_for(6000, 8000, 0);
 
 	(void)state;
-	assert_int_equal(feed_judge(&timing, false, true, false, 100000), FEED_KEEP);
-	assert_int_equal(feed_judge(&timing, false, true, true, 100000), FEED_DOUBT);
-	assert_int_equal(feed_judge(&timing, false, true, true, timing.age_most_us + 1),
-			 FEED_DOUBT);
-	assert_int_equal(feed_judge(&timing, false, true, false, timing.age_most_us + 1),
+	assert_int_equal(feed_evaluate(&timing, false, true, false, 100000), FEED_KEEP);
+	assert_int_equal(feed_evaluate(&timing, false, true, true, 100000), FEED_KEEP_AND_CHECK);
+	assert_int_equal(feed_evaluate(&timing, false, true, true, timing.age_max_us + 1),
+			 FEED_KEEP_AND_CHECK);
+	assert_int_equal(feed_evaluate(&timing, false, true, false, timing.age_max_us + 1),
 			 FEED_LEAVE);
-	assert_int_equal(feed_judge(&timing, false, false, true, 100000), FEED_LEAVE);
-	assert_int_equal(feed_judge(&timing, false, false, false, 100000), FEED_KEEP);
+	assert_int_equal(feed_evaluate(&timing, false, false, true, 100000), FEED_LEAVE);
+	assert_int_equal(feed_evaluate(&timing, false, false, false, 100000), FEED_KEEP);
 	for (uint32_t apply_ms = 1000; apply_ms <= 60000; apply_ms += 500) {
 		const feed_timing_t any = feed_timing_for(apply_ms, 8000, 0);
 
-		assert_true(any.look_most_us <= apply_ms * 1000ull);
-		assert_true(any.look_least_us < any.look_most_us);
+		assert_true(any.check_pause_max_us <= apply_ms * 1000ull);
+		assert_true(any.check_pause_min_us < any.check_pause_max_us);
 	}
 }
 
@@ -473,17 +474,17 @@
  */
 static void test_announced_before_the_feed_is_used(void **state)
 {
-	follow_t follow = {0};
+	list_watch_t follow = {0};
 
 	(void)state;
-	follow_start(&follow);
-	follow_listed(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_WATCH);
-	follow_announced(&follow);
-	follow_stop(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
-	follow_listed(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_NOTHING);
+	list_watch_start(&follow);
+	list_watch_listed(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_WATCH);
+	list_watch_announced(&follow);
+	list_watch_stop(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
+	list_watch_listed(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
 }
 
 /*
@@ -493,32 +494,32 @@
  */
 static void test_announced_by_a_feed_that_ends(void **state)
 {
-	follow_t follow = {0};
+	list_watch_t follow = {0};
 
 	(void)state;
-	follow_start(&follow);
-	follow_listed(&follow);
-	follow_announced(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
-	follow_listed(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_WATCH);
+	list_watch_start(&follow);
+	list_watch_listed(&follow);
+	list_watch_announced(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
+	list_watch_listed(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_WATCH);
 }
 
 static void test_list_watch_stop(void **state)
 {
-	follow_t follow = {0};
+	list_watch_t follow = {0};
 
 	(void)state;
-	assert_int_equal(follow_next(&follow), FOLLOW_NOTHING);
-	follow_start(&follow);
-	follow_stop(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_NOTHING);
-	follow_announced(&follow);
-	follow_listed(&follow);
-	follow_start(&follow);
-	follow_listed(&follow);
-	follow_again(&follow);
-	assert_int_equal(follow_next(&follow), FOLLOW_LIST);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
+	list_watch_start(&follow);
+	list_watch_stop(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
+	list_watch_announced(&follow);
+	list_watch_listed(&follow);
+	list_watch_start(&follow);
+	list_watch_listed(&follow);
+	list_watch_relist(&follow);
+	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
 }
 
 /* A reply that was on its way while the store was restored from an older copy of its data is
@@ -545,41 +546,41 @@
 /* A subscriber reads what was sent, however the bytes are split; invalid data is detected. */
 static void test_feed(void **state)
 {
-	feed_book_t *book = feed_book_new(1);
+	feed_cache_t *book = feed_cache_new(1);
 	GByteArray *bytes = g_byte_array_new();
 	GString *read = g_string_new(NULL);
 	size_t at = 0, used = 0;
 
 	(void)state;
-	feed_book_take(book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "early"});
-	feed_book_write(book, bytes);
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "early"});
+	feed_cache_write(book, bytes);
 	assert_int_equal(bytes->len, 0);
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1, .era = 2});
-	feed_book_take(book,
-		       &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "a", .text = "x"});
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
-	feed_book_take(book,
-		       &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "b", .text = "y"});
-	feed_book_take(book, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
-	feed_book_write(book, bytes);
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1, .era = 2});
+	feed_cache_apply(
+		book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "a", .text = "x"});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
+	feed_cache_apply(
+		book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "b", .text = "y"});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
+	feed_cache_write(book, bytes);
 	for (guint have = 0; have <= bytes->len; have++) {
-		framing_t got =
+		framing_result_t got =
 			feed_message_read(bytes->data + at, have - at, &used, append_message, read);
 
-		assert_int_not_equal(got, FRAMING_BAD);
-		if (got == FRAMING_ONE)
+		assert_int_not_equal(got, FRAMING_INVALID);
+		if (got == FRAMING_COMPLETE)
 			at += used;
 	}
 	assert_string_equal(read->str, "0 1   2;1 1 b y 2;4 1   2;");
 	assert_int_equal(feed_message_read((const uint8_t *)"\xff\xff\xff\xff", 4, &used,
 					   append_message, read),
-			 FRAMING_BAD);
+			 FRAMING_INVALID);
 	assert_int_equal(feed_message_read((const uint8_t *)"\0\0\0\2\x92\x01", 6, &used,
 					   append_message, read),
-			 FRAMING_BAD);
-	feed_book_clear(book);
-	assert_false(feed_book_is_known(book));
-	feed_book_free(book);
+			 FRAMING_INVALID);
+	feed_cache_clear(book);
+	assert_false(feed_cache_is_complete(book));
+	feed_cache_free(book);
 	g_byte_array_unref(bytes);
 	g_string_free(read, TRUE);
 }
@@ -588,31 +589,31 @@
  * have kept it. */
 static void test_announced_object_is_kept(void **state)
 {
-	feed_book_t *book = feed_book_new(1);
+	feed_cache_t *book = feed_cache_new(1);
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
 	g_autoptr(GString) read = g_string_new(NULL);
 	feed_message_t found;
 
 	(void)state;
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
-	feed_book_take(book, &(feed_message_t){.type = FEED_CHANGED,
-					       .kind = 1,
-					       .name = "main",
-					       .text = "a large object"});
-	feed_book_take(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
-	feed_book_write(book, bytes);
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_ANNOUNCED,
+						 .kind = 1,
+						 .name = "main",
+						 .text = "a large object"});
+	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
+	feed_cache_write(book, bytes);
 	for (size_t at = 0, used = 0; at < bytes->len; at += used)
 		assert_int_equal(feed_message_read(bytes->data + at, bytes->len - at, &used,
 						   append_message, read),
-				 FRAMING_ONE);
+				 FRAMING_COMPLETE);
 	assert_string_equal(read->str, "0 1   0;2 1 main  0;4 1   0;");
-	assert_true(feed_book_find(book, "main", &found));
+	assert_true(feed_cache_find(book, "main", &found));
 	assert_int_equal(found.type, FEED_OBJECT);
 	assert_string_equal(found.text, "a large object");
-	assert_false(feed_book_find(book, "other", &found));
-	assert_true(feed_pause_us(550000, 14) > 4 * 300000);
-	assert_true(feed_pause_us(550000, 1000) < 20000);
-	feed_book_free(book);
+	assert_false(feed_cache_find(book, "other", &found));
+	assert_true(feed_request_pause_us(550000, 14) > 4 * 300000);
+	assert_true(feed_request_pause_us(550000, 1000) < 20000);
+	feed_cache_free(book);
 }
 
 /* Whatever time limits a deployment sets, a VM whose feeder is cut off from the store reads the
@@ -629,10 +630,10 @@
 			uint32_t sound_ms =
 				timing.feeder_watch_ms + grouped_ms + news_ms + answer_ms;
 
-			assert_true(timing.age_most_us < apply_ms * 1000ull);
+			assert_true(timing.age_max_us < apply_ms * 1000ull);
 			assert_true(timing.watch_ms + FEED_WATCH_SLACK_MS < settle_ms);
 			assert_true(timing.feeder_watch_ms <= timing.watch_ms);
-			assert_true(sound_ms * 1000ull <= timing.age_most_us);
+			assert_true(sound_ms * 1000ull <= timing.age_max_us);
 		}
 	}
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -613,8 +613,8 @@
 		break;
 	case CALL_WATCH:
 		if (result->end == PLATFORM_OK &&
-		    adoption_offer(&vm->adoption, result->version, result->value, &err) ==
-			    ADOPTION_TAKEN)
+		    active_config_offer(&vm->adoption, result->version, result->value, &err) ==
+			    ACTIVE_CONFIG_REPLACED)
 			engine_configure(vm->engine, vm->adoption.config, world->now_us);
 		break;
 	}
@@ -890,7 +890,7 @@
 	}
 	/* A killed process loses its state: its engine never runs again. */
 	vm->dead = true;
-	adoption_clear(&vm->adoption);
+	active_config_clear(&vm->adoption);
 	g_queue_clear_full(&vm->inbox, sub_unref);
 }
 
@@ -942,7 +942,7 @@
 
 uint64_t world_config_number(const world_t *world, uint32_t vm)
 {
-	return adoption_number(&world->vms[vm].adoption);
+	return active_config_number(&world->vms[vm].adoption);
 }
 
 /* ---- requests ---- */
@@ -1005,7 +1005,7 @@
 
 typedef struct proposing_t {
 	vm_t *vm;
-	proposal_end_t *end;
+	proposal_outcome_t *end;
 	uint64_t *number;
 } proposing_t;
 
@@ -1029,7 +1029,7 @@
 	platform_call(((proposing_t *)ctx)->vm, &call);
 }
 
-static void proposal_ended(void *ctx, proposal_t *proposal, proposal_end_t end, uint64_t number,
+static void proposal_ended(void *ctx, proposal_t *proposal, proposal_outcome_t end, uint64_t number,
 			   const char *other)
 {
 	proposing_t *proposing = ctx;
@@ -1042,7 +1042,7 @@
 }
 
 void world_propose(world_t *world, uint32_t index, const char *out, const char *by,
-		   proposal_end_t *end, uint64_t *number)
+		   proposal_outcome_t *end, uint64_t *number)
 {
 	static const proposal_ops_t ops = {
 		.read = proposal_read, .write = proposal_write, .ended = proposal_ended};
@@ -1054,7 +1054,7 @@
 	json_object_set_new(config, "out", *out ? json_pack("[s]", out) : json_array());
 	*proposing = (proposing_t){.vm = vm, .end = end, .number = number};
 	*end = PROPOSAL_UNKNOWN;
-	proposal_start(proposal_new(&ops, proposing, &origin, adoption_number(&vm->adoption),
+	proposal_start(proposal_new(&ops, proposing, &origin, active_config_number(&vm->adoption),
 				    json_object_get(vm->adoption.value, "history"), config));
 	json_decref(config);
 }
@@ -1157,7 +1157,7 @@
 	for (uint32_t i = 0; i < world->vm_count; i++) {
 		claims_free(world->vms[i].claims);
 		timeline_free(world->vms[i].timeline);
-		adoption_clear(&world->vms[i].adoption);
+		active_config_clear(&world->vms[i].adoption);
 	}
 	g_ptr_array_unref(world->replicas);
 	g_ptr_array_unref(world->results);
--- a/tests/world.h
+++ b/tests/world.h
@@ -43,7 +43,7 @@
 	char data_centre[16];
 	engine_t *engine;
 	claims_t *claims;
-	adoption_t adoption;
+	active_config_t adoption;
 	timeline_t *timeline;
 	bool dead, frozen, cut_from_platform;
 	uint64_t refreshed_us;
@@ -120,7 +120,7 @@
 void world_revive(world_t *world, replica_t *replica);
 /** Propose through @p vm the configuration with @p out withdrawn; sets @p end and @p number. */
 void world_propose(world_t *world, uint32_t vm, const char *out, const char *by,
-		   proposal_end_t *end, uint64_t *number);
+		   proposal_outcome_t *end, uint64_t *number);
 uint64_t world_config_number(const world_t *world, uint32_t vm);
 /** Check, at the end of a run, the guarantees that concern the whole run. */
 void world_check_end(world_t *world);
