--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -285,14 +285,14 @@
 	arm(task);
 }
 
-static void on_probed(void *ctx, void *upstream, upstream_report_t *report, probe_end_t end)
+static void on_probed(void *ctx, void *upstream, upstream_report_t *report, probe_result_t end)
 {
 	query_task_t *task = ctx;
 
 	if (end == PROBE_REPORTED) {
 		engine_health(task->engine, upstream, report, loop_now_us());
 		upstream_report_free(report);
-	} else if (end != PROBE_UNKNOWN) {
+	} else if (end != PROBE_INCONCLUSIVE) {
 		engine_health_failed(task->engine, upstream, end == PROBE_REFUSED, loop_now_us());
 	}
 	upstream_unref(upstream);
--- a/src/tasks/upstream_task.c
+++ b/src/tasks/upstream_task.c
@@ -14,12 +14,12 @@
 typedef struct endpoint_t {
 	char *key;
 	struct flight_t *slots[SLOTS_MAX];
-	GQueue pending; /* sub_request_t: all slots are busy, some perhaps closing */
+	GQueue pending; /* sub_request_t waiting for a slot; a slot that is closing is still busy */
 	bool probing;
-	bool probe_kept; /* the probes' connection was kept from one probe to the next */
+	bool probe_reuses_connection; /* the current probe uses the previous probe's connection */
 } endpoint_t;
 
-/** A sub-request on a connection. */
+/** A sub-request in flight on a connection. */
 typedef struct flight_t {
 	upstream_task_t *task;
 	endpoint_t *endpoint;
@@ -142,9 +142,9 @@
 }
 
 /*
- * The slots that a request may use. A fresh connection in a slot that keeps an idle one would make
- * two connections of it, and a searcher's limit could be passed; so the last slot is kept for fresh
- * ones. Actions are all fresh, and nothing is kept open beside them.
+ * The slots that a request may use. A fresh connection in a slot that holds an idle one would make
+ * two connections, and the searcher's limit could be exceeded. So the last slot is reserved for
+ * fresh connections. Actions always use fresh connections, and no idle ones are kept beside them.
  */
 static void slot_range(const sub_request_t *request, uint32_t *first, uint32_t *end)
 {
@@ -217,7 +217,8 @@
 	return false;
 }
 
-/* The searcher's cancellation is the closed connection; it also rids us of a silent one. */
+/* Closing the connection is what cancels a sub-request at the searcher. It also gets rid of a
+ * connection that may be dead. */
 static void receive_cancel(void *self, void *message)
 {
 	upstream_task_t *task = self;
@@ -249,11 +250,11 @@
 
 /* ---- health probes ---- */
 
-static probe_end_t probe_end_of(const http_call_t *call, const upstream_report_t *report)
+static probe_result_t probe_result_of(const http_call_t *call, const upstream_report_t *report)
 {
 	if (http_call_end(call) == HTTP_END_NOT_SENT)
 		return PROBE_REFUSED;
-	return report ? PROBE_REPORTED : PROBE_SILENT;
+	return report ? PROBE_REPORTED : PROBE_NO_REPORT;
 }
 
 static void probe_finished(void *ctx, http_call_t *call)
@@ -266,10 +267,10 @@
 
 	loop_timer_cancel(&probe->timer);
 	probe->endpoint->probing = false;
-	probe->endpoint->probe_kept = replied;
+	probe->endpoint->probe_reuses_connection = replied;
 	if (replied)
 		report = reply_parse_health(http_call_status(call), body->str, body->len);
-	task->ops->probed(task->ctx, probe->upstream, report, probe_end_of(call, report));
+	task->ops->probed(task->ctx, probe->upstream, report, probe_result_of(call, report));
 	g_free(probe->address);
 	g_free(probe);
 }
@@ -292,15 +293,17 @@
 
 	probe->endpoint = endpoint_of(task, probe->address, probe->port);
 	/*
-	 * The last probe is still out. On a connection made for it the searcher itself is silent;
-	 * on a kept one the connection may be. Counted all the same, one silent connection made
-	 * three failures, and when all connections went silent at once whole groups of sound
-	 * searchers were taken for down: partial answers for a second. The probe's own timeout
-	 * counts once, and the next has a new connection.
+	 * The previous probe is still outstanding. If it opened its own connection, the searcher is
+	 * unresponsive. If it reused a keep-alive connection, only that connection may be dead.
+	 * If that counted as a failure too, one dead connection made three failures, and when all
+	 * connections died at once, whole groups of healthy searchers were taken to be down:
+	 * partial answers for a second. The probe's own time-out counts once, and the next probe
+	 * opens a new connection.
 	 */
 	if (probe->endpoint->probing) {
 		task->ops->probed(task->ctx, probe->upstream, NULL,
-				  probe->endpoint->probe_kept ? PROBE_UNKNOWN : PROBE_SILENT);
+				  probe->endpoint->probe_reuses_connection ? PROBE_INCONCLUSIVE
+									   : PROBE_NO_REPORT);
 		g_free(probe->address);
 		g_free(probe);
 		return;
