--- a/src/tasks/ticket.h
+++ b/src/tasks/ticket.h
@@ -1,6 +1,6 @@
 /**
  * @file ticket.h
- * One caller's request between the caller task and the query task.
+ * A caller's request, shared by the caller task and the query task.
  */
 #ifndef DS_TICKET_H
 #define DS_TICKET_H
@@ -10,21 +10,21 @@
 
 typedef struct ticket_t {
 	gint refs;
-	http_exchange_t *exchange; /**< the caller task's */
+	http_exchange_t *exchange; /**< owned by the caller task */
 	char *request_id;
-	query_t *query; /**< the query task's; NULL until submitted */
-	bool gone;	/**< the caller went away */
+	query_t *query; /**< owned by the query task; NULL until submitted */
+	bool gone;	/**< the caller disconnected */
 } ticket_t;
 
 ticket_t *ticket_new(http_exchange_t *exchange, const char *request_id);
 ticket_t *ticket_ref(ticket_t *ticket);
 void ticket_unref(ticket_t *ticket);
 
-/** An answer on its way back to the caller task. */
+/** An answer that the query task posts to the caller task. */
 typedef struct ticket_reply_t {
 	ticket_t *ticket;
 	int status;
-	const char *content_type; /**< a literal */
+	const char *content_type; /**< a string literal, not freed */
 	char *body;
 	char *snapshot; /**< for headers; NULL for none */
 	char *coverage;
