--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -242,12 +242,12 @@
 
 static void on_poison_tell(void *ctx, const poison_update_t *news)
 {
-	poison_task_tell(((front_task_t *)ctx)->poison, news);
+	poison_task_publish(((front_task_t *)ctx)->poison, news);
 }
 
 static void on_poison_forget(void *ctx, fingerprint_t fingerprint)
 {
-	poison_task_forget(((front_task_t *)ctx)->poison, fingerprint);
+	poison_task_remove(((front_task_t *)ctx)->poison, fingerprint);
 }
 
 static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
--- a/src/tasks/poison_task.c
+++ b/src/tasks/poison_task.c
@@ -2,16 +2,16 @@
  * @file poison_task.c
  * See poison_task.h.
  *
- * Writes are unconditional: a VM that hears of fewer strikes than it knows writes its own again, so
- * whatever comes last, all of them end with the most.
+ * Writes are unconditional. A VM that receives an update with fewer strikes than it has recorded
+ * writes its own again, so whichever write comes last, all VMs end with the highest number.
  */
 #include "tasks/poison_task.h"
 
 #define CALL_TIMEOUT_US 1500000
 #define STATUS_EXISTS 409
 #define STATUS_ABSENT 404
-/* Whether the object exists may change between two calls, by another VM or an operator. */
-#define TRIES_MOST 3
+/* Another VM or an operator may create or delete the object between two calls. */
+#define MAX_TRIES 3
 
 struct poison_task_t {
 	platform_task_t *platform;
@@ -22,13 +22,13 @@
 /** One call to the store. */
 typedef struct poison_call_t {
 	poison_task_t *task;
-	poison_update_t news;
+	poison_update_t update;
 	char *service;
-	bool replaces; /* the object exists, as far as is known */
+	bool exists; /* the object exists in the store, as far as is known */
 	uint32_t tries;
 } poison_call_t;
 
-/** A claim that the store has not answered. */
+/** A claim that the store has not answered yet. */
 typedef struct claim_call_t {
 	poison_task_t *task;
 	fingerprint_t fingerprint;
@@ -45,14 +45,14 @@
 	return task;
 }
 
-static poison_call_t *call_new(poison_task_t *task, const poison_update_t *news)
+static poison_call_t *call_new(poison_task_t *task, const poison_update_t *update)
 {
 	poison_call_t *call = g_new0(poison_call_t, 1);
 
 	call->task = task;
-	call->news = *news;
-	call->service = g_strdup(news->service);
-	call->news.service = call->service;
+	call->update = *update;
+	call->service = g_strdup(update->service);
+	call->update.service = call->service;
 	return call;
 }
 
@@ -62,50 +62,51 @@
 	g_free(call);
 }
 
-/* ---- telling ---- */
+/* ---- publishing ---- */
 
 static void put(poison_call_t *call);
 
 static void on_put(void *ctx, const platform_result_t *result)
 {
 	poison_call_t *call = ctx;
-	bool taken = result->status / 100 == 2;
-	bool other_way = result->status == (call->replaces ? STATUS_ABSENT : STATUS_EXISTS);
+	bool written = result->status / 100 == 2;
+	bool wrong_method = result->status == (call->exists ? STATUS_ABSENT : STATUS_EXISTS);
 
-	if (other_way && ++call->tries < TRIES_MOST) {
-		call->replaces = !call->replaces;
+	if (wrong_method && ++call->tries < MAX_TRIES) {
+		call->exists = !call->exists;
 		put(call);
 		return;
 	}
-	if (!taken)
+	if (!written)
 		g_info("event=poison-not-told status=%d outcome=again", result->status);
-	poison_publish_done(call->task->poison, &call->news, taken, loop_now_us());
+	poison_publish_done(call->task->poison, &call->update, written, loop_now_us());
 	call_free(call);
 }
 
 static void put(poison_call_t *call)
 {
 	char name[FINGERPRINT_TEXT_BYTES];
-	g_autofree char *body = store_write_poison(&call->news);
+	g_autofree char *body = store_write_poison(&call->update);
 	g_autofree char *target = NULL;
 
-	fingerprint_format(call->news.fingerprint, name);
-	target = store_write_target(STORE_POISON, call->replaces ? name : NULL);
-	platform_task_send(call->task->platform, call->replaces ? "PUT" : "POST", target, body,
+	fingerprint_format(call->update.fingerprint, name);
+	target = store_write_target(STORE_POISON, call->exists ? name : NULL);
+	platform_task_send(call->task->platform, call->exists ? "PUT" : "POST", target, body,
 			   CALL_TIMEOUT_US, on_put, call);
 }
 
-void poison_task_tell(poison_task_t *task, const poison_update_t *news)
+void poison_task_publish(poison_task_t *task, const poison_update_t *update)
 {
-	poison_call_t *call = call_new(task, news);
+	poison_call_t *call = call_new(task, update);
 
-	call->replaces = news->strikes > 1 || news->renewals;
+	call->exists = update->strikes > 1 || update->renewals;
 	put(call);
 }
 
-/* ---- forgetting ---- */
+/* ---- removing ---- */
 
-/* One that stays there is told again by the store's list, and forgotten once more by its time. */
+/* If the object stays in the store, the next list brings it back, and its record expires and is
+ * removed once more. */
 static void on_deleted(void *ctx, const platform_result_t *result)
 {
 	(void)ctx;
@@ -113,7 +114,7 @@
 		g_message("event=poison-not-removed status=%d", result->status);
 }
 
-void poison_task_forget(poison_task_t *task, fingerprint_t fingerprint)
+void poison_task_remove(poison_task_t *task, fingerprint_t fingerprint)
 {
 	char name[FINGERPRINT_TEXT_BYTES];
 	g_autofree char *target = NULL;
@@ -154,8 +155,8 @@
 	platform_task_send(task->platform, "POST", target, body, CALL_TIMEOUT_US, on_claimed, call);
 }
 
-/* A claim that stays holds up the next trial of that number for a while, and no more. */
-static void on_claim_dropped(void *ctx, const platform_result_t *result)
+/* A claim that is not deleted only delays the next trial of that number for a while. */
+static void on_claim_deleted(void *ctx, const platform_result_t *result)
 {
 	(void)ctx;
 	(void)result;
@@ -167,23 +168,23 @@
 		g_autofree char *target = store_claim_target(fingerprint, i);
 
 		platform_task_send(task->platform, "DELETE", target, NULL, CALL_TIMEOUT_US,
-				   on_claim_dropped, task);
+				   on_claim_deleted, task);
 	}
 }
 
-/* ---- hearing ---- */
+/* ---- receiving updates ---- */
 
-void poison_task_take(poison_task_t *task, const store_object_t *object, uint64_t now_us)
+void poison_task_apply(poison_task_t *task, const store_object_t *object, uint64_t now_us)
 {
-	poison_update_t news;
+	poison_update_t update;
 	err_t err = {0};
 
-	if (!store_read_poison(object, &news, &err)) {
+	if (!store_read_poison(object, &update, &err)) {
 		g_info("event=poison-ignored name=\"%s\" reason=\"%s\"", object->name, err.text);
 		return;
 	}
 	if (object->removed)
-		poison_apply_removal(task->poison, news.fingerprint);
+		poison_apply_removal(task->poison, update.fingerprint);
 	else
-		poison_apply_update(task->poison, &news, now_us);
+		poison_apply_update(task->poison, &update, now_us);
 }
--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -195,7 +195,7 @@
 	else if (kind == STORE_EVACUATIONS)
 		take_evacuation(reader, object);
 	else
-		poison_task_take(reader->poison, object, loop_now_us());
+		poison_task_apply(reader->poison, object, loop_now_us());
 }
 
 void store_reader_list_end(store_reader_t *reader, store_kind_t kind)
