--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -678,9 +678,9 @@
 						 .body = body_of,
 						 .id = id_of,
 						 .ended = on_sub_ended,
-						 .refused = on_refused,
-						 .listens = on_listens,
-						 .room = on_room};
+						 .connection_refused = on_refused,
+						 .connected = on_listens,
+						 .has_capacity = on_room};
 	static const supply_ops_t supply_ops = {.list_begin = on_list_begin,
 						.object = on_object,
 						.list_end = on_list_end,
--- a/src/tasks/link_task.c
+++ b/src/tasks/link_task.c
@@ -7,33 +7,35 @@
 #include "headers.h"
 #include "net/http_conn.h"
 
-/* A connection takes a round trip (48 ms at most) and a handshake of up to 6 ms, or longer where
- * the searcher is slow; past this nobody is there. Nothing was sent, so the request may go
- * elsewhere. */
-#define CONNECT_MOST_US 400000
-/* A kept connection that idled for longer may have gone silent: for a second try it is replaced. */
-#define TRUSTED_IDLE_US 3000000
-/* All connections to a process that ends break at the same moment, give or take a turn of the loop
- * or a lost packet. */
-#define BREAK_TOGETHER_US 1000000
+/* Connecting takes a network round trip (48 ms at most) and a handshake of up to 6 ms, or longer if
+ * the searcher is slow. After this time-out the searcher is taken to be absent. Nothing was sent,
+ * so the request may be sent to another searcher. */
+#define LINK_CONNECT_TIMEOUT_US 400000
+/* A keep-alive connection that was idle for longer may be dead without an error, so anything but a
+ * first attempt gets a new connection instead. */
+#define RETRY_IDLE_MAX_US 3000000
+/* All connections to a process that terminates break within this time of each other: at the same
+ * moment, apart from delays by an iteration of the loop or a lost packet. */
+#define BREAK_WINDOW_US 1000000
 
 typedef struct link_conn_t {
 	struct link_t *link;
 	http_conn_t *conn;
 	subrequest_t *sub; /* NULL when idle */
-	char *id;	   /* of the request that is out */
+	char *id;	   /* of the request in flight */
 	loop_timer_t connect_timer;
 	uint64_t begun_us, used_us;
 	bool opened;
-	bool answered; /* it has carried a reply */
+	bool answered; /* at least one reply came over this connection */
 } link_conn_t;
 
 /* All connections to one searcher. */
 typedef struct link_t {
 	link_task_t *task;
 	searcher_t *searcher;
-	GPtrArray *conns; /* link_conn_t, the one used last at the end */
-	uint64_t lost_us; /* when one last broke under a sub-request; 0: never, or looked into */
+	GPtrArray *conns; /* link_conn_t, the most recently used at the end */
+	/* When a connection last broke under a sub-request; 0: never, or checked since. */
+	uint64_t last_broken_us;
 } link_t;
 
 struct link_task_t {
@@ -74,7 +76,7 @@
 	return link;
 }
 
-static void count(link_t *link)
+static void update_counts(link_t *link)
 {
 	uint32_t idle = 0;
 
@@ -84,7 +86,7 @@
 	link->searcher->connections = link->conns->len;
 }
 
-static void free_if_done(link_t *link)
+static void free_link_if_unused(link_t *link)
 {
 	if (link->conns->len || link->searcher->state < SEARCHER_GONE)
 		return;
@@ -94,8 +96,8 @@
 	g_free(link);
 }
 
-/* The connection itself is closed already, or is closed by the caller. */
-static void forget(link_conn_t *conn)
+/* The connection itself is closed already, or the caller closes it. */
+static void remove_conn(link_conn_t *conn)
 {
 	link_t *link = conn->link;
 
@@ -103,11 +105,11 @@
 	g_ptr_array_remove(link->conns, conn);
 	g_free(conn->id);
 	g_free(conn);
-	count(link);
-	free_if_done(link);
+	update_counts(link);
+	free_link_if_unused(link);
 }
 
-static void end_sub(link_task_t *task, subrequest_t *sub, sub_reply_t *reply)
+static void finish_subrequest(link_task_t *task, subrequest_t *sub, sub_reply_t *reply)
 {
 	if (sub)
 		task->ops->ended(task->ctx, sub, reply);
@@ -123,7 +125,7 @@
 
 	conn->opened = true;
 	loop_timer_cancel(&conn->connect_timer);
-	task->ops->listens(task->ctx, conn->link->searcher, conn->begun_us);
+	task->ops->connected(task->ctx, conn->link->searcher, conn->begun_us);
 }
 
 static void on_replied(void *ctx, const http_message_t *message, bool reusable)
@@ -144,14 +146,14 @@
 		reusable = false;
 	}
 	if (reusable)
-		count(conn->link);
+		update_counts(conn->link);
 	else
-		forget(conn);
-	end_sub(task, sub, reply);
+		remove_conn(conn);
+	finish_subrequest(task, sub, reply);
 }
 
-/* A searcher that holds as many connections as it takes resets the next at once. */
-static void note_broken(link_conn_t *conn, http_conn_end_t end)
+/* A searcher with its maximum of connections resets the next one at once. */
+static void count_connection_end(link_conn_t *conn, http_conn_end_t end)
 {
 	link_counters_t *counters = &conn->link->task->counters;
 	searcher_t *searcher = conn->link->searcher;
@@ -167,22 +169,23 @@
 static link_conn_t *open_conn(link_t *link);
 
 /*
- * A connection that breaks under a sub-request may have been reset by itself, or its searcher has
- * ended. When none is left, a new one tells at once: it is refused, or it is there for the next
- * sub-request. Without this the first to know would be the store, some four seconds later.
+ * If a connection breaks under a sub-request, either only that connection was reset or the searcher
+ * has terminated. When no connection is left, opening a new one shows at once which: it is refused,
+ * or it is available for the next sub-request. Without this check the VM would learn of a
+ * terminated searcher from the store only, some four seconds later.
  */
-static void look_for_process(searcher_t *searcher)
+static void check_process(searcher_t *searcher)
 {
 	link_t *link = searcher->link;
 
 	if (!link || link->conns->len || searcher->state != SEARCHER_READY)
 		return;
-	if (loop_now_us() < link->lost_us + BREAK_TOGETHER_US)
+	if (loop_now_us() < link->last_broken_us + BREAK_WINDOW_US)
 		open_conn(link);
-	link->lost_us = 0;
+	link->last_broken_us = 0;
 }
 
-static sub_reply_t *reply_of_end(const link_conn_t *conn, http_conn_end_t end)
+static sub_reply_t *reply_of_close(const link_conn_t *conn, http_conn_end_t end)
 {
 	sub_reply_t *reply;
 
@@ -200,16 +203,16 @@
 	link_task_t *task = link->task;
 	searcher_t *searcher = searcher_ref(link->searcher);
 	subrequest_t *sub = conn->sub;
-	sub_reply_t *reply = sub ? reply_of_end(conn, end) : NULL;
+	sub_reply_t *reply = sub ? reply_of_close(conn, end) : NULL;
 
 	if (reply && reply->broken)
-		link->lost_us = loop_now_us();
-	note_broken(conn, end);
-	forget(conn);
+		link->last_broken_us = loop_now_us();
+	count_connection_end(conn, end);
+	remove_conn(conn);
 	if (end == HTTP_CONN_REFUSED)
-		task->ops->refused(task->ctx, searcher);
-	end_sub(task, sub, reply);
-	look_for_process(searcher);
+		task->ops->connection_refused(task->ctx, searcher);
+	finish_subrequest(task, sub, reply);
+	check_process(searcher);
 	searcher_unref(searcher);
 }
 
@@ -224,8 +227,8 @@
 
 	task->counters.refused++;
 	http_conn_close(conn->conn);
-	forget(conn);
-	end_sub(task, sub, sub_reply_new(SUB_NOT_SENT));
+	remove_conn(conn);
+	finish_subrequest(task, sub, sub_reply_new(SUB_NOT_SENT));
 }
 
 static link_conn_t *open_conn(link_t *link)
@@ -243,19 +246,20 @@
 	}
 	link->task->counters.opened++;
 	conn->connect_timer = (loop_timer_t){.fire = connect_timeout, .ctx = conn};
-	loop_timer_set(link->task->loop, &conn->connect_timer, CONNECT_MOST_US);
+	loop_timer_set(link->task->loop, &conn->connect_timer, LINK_CONNECT_TIMEOUT_US);
 	g_ptr_array_add(link->conns, conn);
-	count(link);
+	update_counts(link);
 	return conn;
 }
 
-static void drop(link_conn_t *conn)
+static void close_conn(link_conn_t *conn)
 {
 	http_conn_close(conn->conn);
-	forget(conn);
+	remove_conn(conn);
 }
 
-/* The idle one used last; those that the searcher is about to close are closed first. */
+/* The most recently used idle connection. Idle connections found on the way that the searcher is
+ * about to close are closed. */
 static link_conn_t *idle_conn(link_t *link, uint64_t now_us)
 {
 	for (guint i = link->conns->len; i-- > 0;) {
@@ -265,7 +269,7 @@
 			continue;
 		if (!http_conn_is_stale(conn->conn, now_us))
 			return conn;
-		drop(conn);
+		close_conn(conn);
 	}
 	return NULL;
 }
@@ -275,8 +279,8 @@
 	uint64_t now_us = loop_now_us();
 	link_conn_t *conn = idle_conn(link, now_us);
 
-	if (conn && sub->purpose != SUB_FIRST && now_us - conn->used_us > TRUSTED_IDLE_US) {
-		drop(conn);
+	if (conn && sub->purpose != SUB_FIRST && now_us - conn->used_us > RETRY_IDLE_MAX_US) {
+		close_conn(conn);
 		conn = NULL;
 	}
 	if (conn)
@@ -285,11 +289,11 @@
 	return open_conn(link);
 }
 
-static void tell_unsent(void *self, void *message)
+static void report_not_sent(void *self, void *message)
 {
 	link_task_t *task = self;
 
-	end_sub(task, message, sub_reply_new(SUB_NOT_SENT));
+	finish_subrequest(task, message, sub_reply_new(SUB_NOT_SENT));
 }
 
 void link_task_send(link_task_t *task, subrequest_t *sub)
@@ -298,14 +302,14 @@
 	const GString *body = task->ops->body(task->ctx, sub);
 	link_conn_t *conn;
 
-	/* Dropping the last connection must not end the link under us. */
+	/* If pick_conn() closes the last connection, the link must not be freed with it. */
 	searcher_ref(sub->searcher);
 	conn = pick_conn(link, sub);
 	searcher_unref(sub->searcher);
 	sub->connection = conn;
 	if (!conn) {
 		g_warning("event=send-failed searcher=%s reason=descriptors", sub->searcher->id);
-		loop_post(task->loop, tell_unsent, task, sub);
+		loop_post(task->loop, report_not_sent, task, sub);
 		return;
 	}
 	conn->sub = sub;
@@ -313,7 +317,7 @@
 	conn->id = g_strdup(task->ops->id(task->ctx, sub));
 	g_ptr_array_remove(link->conns, conn);
 	g_ptr_array_add(link->conns, conn);
-	count(link);
+	update_counts(link);
 	g_string_truncate(task->head, 0);
 	task->ops->write_head(task->ctx, sub, task->head);
 	http_conn_send(conn->conn, task->head->str, task->head->len, body->str, body->len,
@@ -324,26 +328,27 @@
 {
 	link_conn_t *conn = sub->connection;
 
-	if (!conn) /* its end is on its way by message */
+	if (!conn) /* a posted message already reports its end */
 		return;
 	task->counters.cancelled++;
-	drop(conn);
+	close_conn(conn);
 }
 
-static void tell_broken(void *self, void *message)
+static void report_connection_lost(void *self, void *message)
 {
 	link_task_t *task = self;
 	sub_reply_t *reply = sub_reply_new(SUB_UNKNOWN);
 
 	reply->broken = true;
-	end_sub(task, message, reply);
+	finish_subrequest(task, message, reply);
 }
 
 /*
- * Its process has ended, and its connections may say nothing of that: behind a cut they stay open
- * and silent, and callers would wait to their deadline for an answer that can't come.
+ * The searcher's process has terminated, but its connections may not show that: behind a network
+ * partition they stay open and deliver nothing, and callers would wait until their deadline for an
+ * answer that can't come.
  */
-static void end_out(link_t *link)
+static void abort_outstanding(link_t *link)
 {
 	while (link->conns->len) {
 		link_conn_t *conn = g_ptr_array_index(link->conns, link->conns->len - 1);
@@ -351,13 +356,13 @@
 
 		if (conn->sub) {
 			conn->sub->connection = NULL;
-			loop_post(link->task->loop, tell_broken, link->task, conn->sub);
+			loop_post(link->task->loop, report_connection_lost, link->task, conn->sub);
 		}
-		drop(conn);
+		close_conn(conn);
 		if (last)
 			return;
 	}
-	free_if_done(link);
+	free_link_if_unused(link);
 }
 
 static void close_idle(link_t *link)
@@ -371,13 +376,13 @@
 			g_ptr_array_add(idle, conn);
 	}
 	if (!link->conns->len)
-		free_if_done(link);
+		free_link_if_unused(link);
 	for (guint i = 0; i < idle->len; i++)
-		drop(g_ptr_array_index(idle, i));
+		close_conn(g_ptr_array_index(idle, i));
 }
 
-/* The first request should not wait for the handshake. Far searchers are not asked first, and
- * connections kept to them for second tries would crowd out those of VMs that are near. */
+/* Spares the first request the handshake. Far searchers are left out: first attempts do not go to
+ * them, and idle connections kept for second attempts would crowd out those of nearby VMs. */
 void link_task_warm(link_task_t *task, searcher_t *searcher)
 {
 	if (searcher_is_usable(searcher) && !searcher->connections &&
@@ -391,10 +396,10 @@
 
 	if (searcher->state != SEARCHER_READY) {
 		if (link && searcher->state == SEARCHER_ENDED)
-			end_out(link);
+			abort_outstanding(link);
 		else if (link)
 			close_idle(link);
 		return;
 	}
-	task->ops->room(task->ctx, searcher->service);
+	task->ops->has_capacity(task->ctx, searcher->service);
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -187,7 +187,7 @@
 	'what was measured never fades|src/core/placement.c|s/exp2\(-age_us \/ MEMORY_HALF_US\)/exp2(0 * age_us)/'
 	'a part that would wait past its deadline is not refused|src/core/part.c|s/else if \(part_would_miss_deadline\(part, now_us\)\)/else if (0)/'
 	'far connections are shared equally by all VMs|src/core/connection_share.c|s/bool spread = each < MIN_CONNECTIONS_EACH \&\&/bool spread = 0 \&\&/'
-	'connections are not made ahead|src/tasks/link_task.c|s/if \(searcher_is_usable\(searcher\) \&\& !searcher->connections \&\&/if (0 \&\&/'
+	'connections to searchers are not opened ahead of need|src/tasks/link_task.c|s/if \(searcher_is_usable\(searcher\) \&\& !searcher->connections \&\&/if (0 \&\&/'
 )
 SCRATCH=$(mktemp -d)
 trap 'rm -rf "$SCRATCH"' EXIT
