--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -399,7 +399,7 @@
 		refuse(exchange, "a path and one Host are required");
 		return;
 	}
-	relay = relay_of_caller(exchange);
+	relay = relay_from_caller(exchange);
 	http_exchange_set_data(exchange, relay);
 	route = gather_route(task, relay);
 	/* Gatherers are in this VM's region, which need not be its caller's: what must stay in
@@ -501,7 +501,7 @@
 
 static void hop_gather(void *ctx, hop_job_t *job)
 {
-	relay_t *relay = relay_of_vm(job);
+	relay_t *relay = relay_from_vm(job);
 
 	job->data = relay;
 	submit(ctx, relay);
@@ -619,11 +619,11 @@
 	static const http_server_ops_t caller_ops = {.request = on_request, .gone = on_gone};
 	static const http_server_ops_t ready_ops = {.request = on_ready_request};
 	static const http_server_ops_t metrics_ops = {.request = on_metrics_request};
-	static const hop_server_ops_t hop_ops = {.takes = hop_takes,
+	static const hop_server_ops_t hop_ops = {.accepts = hop_takes,
 						 .version = hop_version,
 						 .gather = hop_gather,
-						 .more = hop_more,
-						 .gone = hop_gone};
+						 .grant = hop_more,
+						 .abandoned = hop_gone};
 	const endpoint_setting_t *gather = &settings->front_gather;
 	const endpoint_setting_t *front = &settings->front_callers;
 	const endpoint_setting_t *ready = &settings->front_ready;
@@ -724,7 +724,7 @@
 
 void front_task_refresh(front_task_t *task)
 {
-	hop_server_stood_still(task->hops);
+	hop_server_resumed(task->hops);
 	supply_task_refresh(task->supply);
 	run_forwarder(task);
 }
@@ -733,7 +733,7 @@
 {
 	task->leaving = true;
 	http_server_leave(task->callers);
-	hop_server_leave(task->hops);
+	hop_server_drain(task->hops);
 }
 
 void front_task_refuse(front_task_t *task)
@@ -754,5 +754,5 @@
 
 uint64_t front_task_last_request_us(const front_task_t *task)
 {
-	return MAX(task->last_request_us, hop_server_last_us(task->hops));
+	return MAX(task->last_request_us, hop_server_last_request_us(task->hops));
 }
--- a/src/tasks/hop_server.c
+++ b/src/tasks/hop_server.c
@@ -6,27 +6,28 @@
 
 #include "net/sock.h"
 
-/* Requests of one VM at once. A VM that hands over more than this is served by several gatherers,
- * and the memory that one peer can take stays bounded. */
-#define OPEN_MOST 256
+/* Limit on open requests of one VM. A VM that hands over more than this is served by several
+ * gatherers, and the memory that one peer can use stays bounded. */
+#define MAX_OPEN_JOBS 256
 
 struct hop_server_t {
 	loop_t *loop;
 	const hop_server_ops_t *ops;
 	void *ctx;
-	GPtrArray *conns;  /* hop_conn_t */
-	GPtrArray *unread; /* hop_job_t that were read in this turn and not looked at */
+	GPtrArray *conns;   /* hop_conn_t */
+	GPtrArray *pending; /* hop_job_t received in this iteration, neither accepted nor rejected
+			       yet */
 	GByteArray *frame;
 	uint32_t open;
 	uint64_t last_us;
-	bool leaving;
+	bool draining;
 };
 
 typedef struct hop_conn_t {
 	hop_server_t *server;
 	sock_t *sock;
 	framing_reader_t *reader;
-	GHashTable *jobs; /* serial to hop_job_t; those that are unread, too */
+	GHashTable *jobs; /* serial to hop_job_t, pending ones included */
 } hop_conn_t;
 
 static void write_to(const hop_conn_t *conn, const hop_message_t *message)
@@ -56,7 +57,7 @@
 	job->arrived_us = loop_arrival_us(conn->server->loop);
 	job->received_us = job->arrived_us - MIN(request->elapsed_us, job->arrived_us);
 	job->patience_us = request->patience_us;
-	job->again = request->again;
+	job->is_resend = request->again;
 	job->id = request->id.bytes ? text_of(request->id) : NULL;
 	job->host = text_of(request->host);
 	job->target = text_of(request->target);
@@ -77,7 +78,7 @@
 	g_free(job);
 }
 
-static void refuse(hop_job_t *job, hop_reason_t reason)
+static void reject_job(hop_job_t *job, hop_reason_t reason)
 {
 	const hop_message_t message = {
 		.type = HOP_NOT_TAKEN, .serial = job->serial, .reason = reason};
@@ -88,19 +89,19 @@
 	job_free(job);
 }
 
-/* That it is taken is written before anything is sent to a searcher: a taker that has not heard it
- * knows that hardly anything can have run. */
-static void look_at(hop_job_t *job)
+/* The confirmation is written before any sub-request is sent. So a taker that has received no
+ * confirmation knows that hardly any searcher can have run the request. */
+static void process_job(hop_job_t *job)
 {
 	hop_server_t *server = job->conn->server;
 	hop_reason_t reason = HOP_NOT_READY;
 
-	if (g_hash_table_size(job->conn->jobs) > OPEN_MOST) {
-		refuse(job, HOP_BUSY);
+	if (g_hash_table_size(job->conn->jobs) > MAX_OPEN_JOBS) {
+		reject_job(job, HOP_BUSY);
 		return;
 	}
-	if (!server->ops->takes(server->ctx, job, &reason)) {
-		refuse(job, reason);
+	if (!server->ops->accepts(server->ctx, job, &reason)) {
+		reject_job(job, reason);
 		return;
 	}
 	write_to(job->conn, &(hop_message_t){.type = HOP_TAKEN,
@@ -110,28 +111,29 @@
 	server->ops->gather(server->ctx, job);
 }
 
-/* One turn after it was read, so that one that is cancelled right behind is never begun. */
-static void look_at_unread(void *self, void *message)
+/* Runs one loop iteration after the jobs were received, so that a job whose cancellation directly
+ * follows it is never begun. */
+static void process_pending(void *self, void *message)
 {
 	hop_server_t *server = self;
 
 	(void)message;
-	while (server->unread->len)
-		look_at(g_ptr_array_steal_index(server->unread, 0));
+	while (server->pending->len)
+		process_job(g_ptr_array_steal_index(server->pending, 0));
 }
 
-static void drop_job(hop_job_t *job)
+static void cancel_job(hop_job_t *job)
 {
 	hop_server_t *server = job->conn->server;
 
-	if (!g_ptr_array_remove(server->unread, job)) {
+	if (!g_ptr_array_remove(server->pending, job)) {
 		server->open--;
-		server->ops->gone(server->ctx, job);
+		server->ops->abandoned(server->ctx, job);
 	}
 	job_free(job);
 }
 
-static void take_request(hop_conn_t *conn, const hop_message_t *message)
+static void receive_request(hop_conn_t *conn, const hop_message_t *message)
 {
 	hop_server_t *server = conn->server;
 
@@ -141,9 +143,9 @@
 			  message->serial);
 		return;
 	}
-	if (!server->unread->len)
-		loop_post(server->loop, look_at_unread, server, NULL);
-	g_ptr_array_add(server->unread, job_new(conn, message));
+	if (!server->pending->len)
+		loop_post(server->loop, process_pending, server, NULL);
+	g_ptr_array_add(server->pending, job_new(conn, message));
 }
 
 static void on_message(void *ctx, const hop_message_t *message)
@@ -155,19 +157,19 @@
 	switch (message->type) {
 	case HOP_PING:
 		write_to(conn, &(hop_message_t){.type = HOP_PONG});
-		if (server->leaving)
+		if (server->draining)
 			write_to(conn, &(hop_message_t){.type = HOP_LEAVING});
 		return;
 	case HOP_REQUEST:
-		take_request(conn, message);
+		receive_request(conn, message);
 		return;
 	case HOP_CANCEL:
 		if (job)
-			drop_job(job);
+			cancel_job(job);
 		return;
 	case HOP_GO:
-		if (job && !g_ptr_array_find(server->unread, job, NULL))
-			server->ops->more(server->ctx, job, message->more);
+		if (job && !g_ptr_array_find(server->pending, job, NULL))
+			server->ops->grant(server->ctx, job, message->more);
 		return;
 	default:
 		g_info("event=handover-ignored type=%d reason=not-for-gatherers", message->type);
@@ -181,7 +183,7 @@
 	g_autoptr(GList) jobs = g_hash_table_get_values(conn->jobs);
 
 	for (GList *item = jobs; item; item = item->next)
-		drop_job(item->data);
+		cancel_job(item->data);
 	g_ptr_array_remove_fast(conn->server->conns, conn);
 	g_hash_table_unref(conn->jobs);
 	framing_reader_free(conn->reader);
@@ -233,12 +235,12 @@
 	server->ops = ops;
 	server->ctx = ctx;
 	server->conns = g_ptr_array_new();
-	server->unread = g_ptr_array_new();
+	server->pending = g_ptr_array_new();
 	server->frame = g_byte_array_new();
 	if (listener_new(loop, address, port, on_accepted, server))
 		return server;
 	g_ptr_array_unref(server->conns);
-	g_ptr_array_unref(server->unread);
+	g_ptr_array_unref(server->pending);
 	g_byte_array_unref(server->frame);
 	g_free(server);
 	return NULL;
@@ -254,26 +256,26 @@
 	job_free(job);
 }
 
-void hop_server_leave(hop_server_t *server)
+void hop_server_drain(hop_server_t *server)
 {
-	server->leaving = true;
+	server->draining = true;
 	for (guint i = 0; i < server->conns->len; i++)
 		write_to(g_ptr_array_index(server->conns, i),
 			 &(hop_message_t){.type = HOP_LEAVING});
 }
 
-void hop_server_stood_still(hop_server_t *server)
+void hop_server_resumed(hop_server_t *server)
 {
-	while (server->unread->len)
-		refuse(g_ptr_array_steal_index(server->unread, 0), HOP_STOOD_STILL);
+	while (server->pending->len)
+		reject_job(g_ptr_array_steal_index(server->pending, 0), HOP_STOOD_STILL);
 }
 
 uint32_t hop_server_open(const hop_server_t *server)
 {
-	return server->open + server->unread->len;
+	return server->open + server->pending->len;
 }
 
-uint64_t hop_server_last_us(const hop_server_t *server)
+uint64_t hop_server_last_request_us(const hop_server_t *server)
 {
 	return server->last_us;
 }
--- a/src/tasks/relay.c
+++ b/src/tasks/relay.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-relay_t *relay_of_caller(http_exchange_t *exchange)
+relay_t *relay_from_caller(http_exchange_t *exchange)
 {
 	const http_message_t *message = http_exchange_message(exchange);
 	relay_t *relay = g_new0(relay_t, 1);
@@ -23,8 +23,9 @@
 	return relay;
 }
 
-/* One searcher of each shard, until the VM that handed it over knows that it is here. */
-relay_t *relay_of_vm(hop_job_t *job)
+/* At first one searcher of each shard may run the request. The taker grants more once it knows that
+ * the request has arrived here. */
+relay_t *relay_from_vm(hop_job_t *job)
 {
 	relay_t *relay = g_new0(relay_t, 1);
 
@@ -36,7 +37,7 @@
 					     .received_us = job->received_us,
 					     .patience_us = job->patience_us,
 					     .max_attempts = 1,
-					     .is_resend = job->again};
+					     .is_resend = job->is_resend};
 	return relay;
 }
 
