--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -690,7 +690,7 @@
 						.sighting = on_sighting,
 						.members = on_members};
 	static const gather_ops_t gather_ops = {
-		.answer = on_gathered, .gather_here = on_gather_here, .newer = on_newer};
+		.answer = on_gathered, .gather_here = on_gather_here, .newer_version = on_newer};
 	front_task_t *task = g_new0(front_task_t, 1);
 
 	task->loop = loop;
--- a/src/tasks/gather_task.c
+++ b/src/tasks/gather_task.c
@@ -6,9 +6,9 @@
 
 #include "tasks/hop_client.h"
 
-/* Of the usual time from handing a request over to hearing that it is taken, at most: what is taken
- * off the request's time for the way there and back. */
-#define WAY_MOST_US 20000
+/* Limit on the usual time from handing a request over until the gatherer confirms it. That time is
+ * subtracted from the request's time, for the network round trip to the gatherer. */
+#define HOP_ROUND_TRIP_MAX_US 20000
 
 struct gather_task_t {
 	loop_t *loop;
@@ -38,22 +38,22 @@
 	arm(task);
 }
 
-static void on_heard(void *ctx)
+static void on_received(void *ctx)
 {
 	arm(ctx);
 }
 
-/* ---- what is said to gatherers ---- */
+/* ---- messages to gatherers ---- */
 
 /*
- * A gatherer gives what it has when the target is near. Without the time for the way there and
- * back, and for handing the answer on from here, answers that were given at the last moment came 0
- * to 2 ms after a target of 250 ms from VMs with 0.12 of a core: 146 of 281 requests while every
- * answer lacked parts.
+ * Time for the round trip to the gatherer and for passing its answer on to the caller. A gatherer
+ * answers with the parts it has shortly before the target. If this time was not allowed for,
+ * answers sent at the last moment reached the caller 0 to 2 ms after a target of 250 ms, from VMs
+ * with 0.12 of a core: 146 of 281 requests while every answer lacked parts.
  */
-static uint64_t way_us(const gather_task_t *task, const gatherer_t *gatherer)
+static uint64_t delivery_time_us(const gather_task_t *task, const gatherer_t *gatherer)
 {
-	uint64_t hop_us = MIN((uint64_t)gatherer->taken.value_us, WAY_MOST_US);
+	uint64_t hop_us = MIN((uint64_t)gatherer->taken.value_us, HOP_ROUND_TRIP_MAX_US);
 
 	return hop_us + (uint64_t)vm_answer_us(task->own);
 }
@@ -67,16 +67,16 @@
 				 .request = relay_hop_request(relay)};
 
 	message.request.version = MAX(relay->version, handovers_version(task->handovers));
-	message.request.elapsed_us =
-		loop_now_us() - relay->request.received_us + way_us(task, handover->gatherer);
+	message.request.elapsed_us = loop_now_us() - relay->request.received_us +
+				     delivery_time_us(task, handover->gatherer);
 	message.request.again = handover->unknown;
 	hop_client_write(task->client, handover->gatherer, &message);
 }
 
-static void on_go(void *ctx, handover_t *handover, uint32_t more)
+static void on_grant(void *ctx, handover_t *handover, uint32_t count)
 {
 	gather_task_t *task = ctx;
-	const hop_message_t message = {.type = HOP_GO, .serial = handover->serial, .more = more};
+	const hop_message_t message = {.type = HOP_GO, .serial = handover->serial, .more = count};
 
 	hop_client_write(task->client, handover->gatherer, &message);
 }
@@ -97,7 +97,7 @@
 	return relay->request.id ? relay->request.id : "";
 }
 
-static void on_silent(void *ctx, const handover_t *handover, uint64_t after_us)
+static void on_unresponsive(void *ctx, const handover_t *handover, uint64_t after_us)
 {
 	(void)ctx;
 	g_message("event=gatherer-silent request=%s vm=%s after_us=%" G_GUINT64_FORMAT
@@ -105,7 +105,7 @@
 		  id_of(handover), handover->gatherer->vm->name, after_us);
 }
 
-static void on_not_taken(void *ctx, const handover_t *handover, hop_reason_t reason)
+static void on_rejected(void *ctx, const handover_t *handover, hop_reason_t reason)
 {
 	(void)ctx;
 	g_info("event=not-taken request=%s vm=%s reason=%s", id_of(handover),
@@ -128,11 +128,11 @@
 	task->ops->gather_here(task->ctx, relay);
 }
 
-static void on_newer(void *ctx, uint64_t version)
+static void on_newer_version(void *ctx, uint64_t version)
 {
 	gather_task_t *task = ctx;
 
-	task->ops->newer(task->ctx, version);
+	task->ops->newer_version(task->ctx, version);
 }
 
 /* ---- interface ---- */
@@ -140,13 +140,13 @@
 gather_task_t *gather_task_new(loop_t *loop, vm_t *own, const gather_ops_t *ops, void *ctx)
 {
 	static const handover_ops_t handover_ops = {.send = on_send,
-						    .go = on_go,
+						    .go = on_grant,
 						    .cancel = on_cancel,
-						    .silent = on_silent,
-						    .not_taken = on_not_taken,
+						    .silent = on_unresponsive,
+						    .not_taken = on_rejected,
 						    .answer = on_answer,
 						    .gather_here = on_gather_here,
-						    .newer = on_newer};
+						    .newer = on_newer_version};
 	gather_task_t *task = g_new0(gather_task_t, 1);
 
 	task->loop = loop;
@@ -155,7 +155,7 @@
 	task->ctx = ctx;
 	task->handovers = handovers_new(&handover_ops, task);
 	task->client = hop_client_new(loop, task->handovers);
-	hop_client_set_heard(task->client, on_heard, task);
+	hop_client_set_received(task->client, on_received, task);
 	task->timer = (loop_timer_t){.fire = on_timer, .ctx = task};
 	return task;
 }
@@ -166,7 +166,7 @@
 		gatherers_for(fleet, task->own->name, task->own->data_centre);
 
 	handovers_set_gatherers(task->handovers, gatherers, task->own->data_centre);
-	hop_client_look(task->client);
+	hop_client_update_links(task->client);
 }
 
 bool gather_task_hand_over(gather_task_t *task, relay_t *relay, const route_t *route,
--- a/src/tasks/gather_task.h
+++ b/src/tasks/gather_task.h
@@ -1,6 +1,6 @@
 /**
  * @file gather_task.h
- * Hands gathers over to the VMs that gather for this one.
+ * Hands requests to be gathered over to this VM's gatherers: VMs that gather for it.
  */
 #ifndef DS_GATHER_TASK_H
 #define DS_GATHER_TASK_H
@@ -13,25 +13,25 @@
 typedef struct gather_task_t gather_task_t;
 
 typedef struct gather_ops_t {
-	/** The end of a request that was handed over. */
+	/** Result of a request that was handed over. */
 	void (*answer)(void *ctx, relay_t *relay, const hop_answer_t *answer);
-	/** Nobody took it: gather here. */
+	/** No gatherer accepted the request: gather it in this VM. */
 	void (*gather_here)(void *ctx, relay_t *relay);
-	/** A gatherer knows a later configuration than any before. */
-	void (*newer)(void *ctx, uint64_t version);
+	/** A gatherer reported a newer configuration version than any gatherer before. */
+	void (*newer_version)(void *ctx, uint64_t version);
 } gather_ops_t;
 
-/** Takes @p own, this VM. */
+/** @param own this VM; owned by the task from now on */
 gather_task_t *gather_task_new(loop_t *loop, vm_t *own, const gather_ops_t *ops, void *ctx);
-/** The VMs, or what the choice of gatherers follows from, may have changed. */
+/** Choose the gatherers again: the VMs or other inputs to the choice may have changed. */
 void gather_task_set_fleet(gather_task_t *task, const fleet_t *fleet);
 /**
- * Hand a gather over; false when it is gathered here.
- * @param version of the configuration that chose @p route
+ * Hand a request over to a gatherer. Returns false if this VM has to gather it.
+ * @param version version of the configuration that chose @p route
  */
 bool gather_task_hand_over(gather_task_t *task, relay_t *relay, const route_t *route,
 			   uint64_t version);
-/** The caller has gone. */
+/** The caller has disconnected: cancel the hand-over. */
 void gather_task_abandon(gather_task_t *task, relay_t *relay);
 const handovers_t *gather_task_handovers(const gather_task_t *task);
 
--- a/src/tasks/hop_client.c
+++ b/src/tasks/hop_client.c
@@ -6,22 +6,22 @@
 
 #include "net/sock.h"
 
-/* Connections kept: one to hand requests to, and two for when that gatherer is slow or gone. */
-#define LINKS 3
-/* How often it is looked whether a connection is missing or has gone silent. A gatherer that starts
- * again is used within this time; all VMs of a data centre that ask at once are a hundred small
- * messages. */
-#define LOOK_US 500000
-/* A connection on which nothing came for so long after a gatherer was late, or after it was asked
- * whether it is there, may have gone silent for good: a new one shows whether the VM lives. */
-#define SILENT_MOST_US 1500000
+/* Number of ready connections to keep: one gatherer to hand requests to, and two in reserve for
+ * when that gatherer is slow or gone. */
+#define READY_LINKS 3
+/* Period of the check for missing and unresponsive connections. A restarted gatherer is used again
+ * within this time. If all VMs of a data centre ping at once, that is a hundred small messages. */
+#define CHECK_PERIOD_US 500000
+/* If a gatherer is late or was pinged, and its connection delivers nothing for this long, the
+ * connection itself may be dead without an error. A new connection shows whether the VM lives. */
+#define SILENCE_TIMEOUT_US 1500000
 
 typedef struct hop_link_t {
 	hop_client_t *client;
 	gatherer_t *gatherer; /* referenced */
 	sock_t *sock;
 	framing_reader_t *reader;
-	uint64_t heard_us; /* or opened */
+	uint64_t last_received_us; /* or when the connection was opened, if later */
 } hop_link_t;
 
 struct hop_client_t {
@@ -29,9 +29,9 @@
 	handovers_t *handovers;
 	GPtrArray *links; /* hop_link_t */
 	GByteArray *frame;
-	loop_timer_t look_timer;
-	void (*heard)(void *ctx);
-	void *heard_ctx;
+	loop_timer_t check_timer;
+	void (*received)(void *ctx);
+	void *received_ctx;
 };
 
 static void link_free(hop_link_t *link)
@@ -43,7 +43,7 @@
 	g_free(link);
 }
 
-/* The socket is closed already, or is closed by the caller. */
+/* The socket is closed already, or the caller closes it. */
 static void link_lost(hop_link_t *link, const char *reason)
 {
 	hop_client_t *client = link->client;
@@ -54,7 +54,7 @@
 	link_free(link);
 	handovers_lost(client->handovers, gatherer, loop_now_us());
 	gatherer_unref(gatherer);
-	client->heard(client->heard_ctx);
+	client->received(client->received_ctx);
 }
 
 static void on_message(void *ctx, const hop_message_t *message)
@@ -80,13 +80,13 @@
 	hop_link_t *link = ctx;
 	hop_client_t *client = link->client;
 
-	link->heard_us = loop_now_us();
+	link->last_received_us = loop_now_us();
 	if (!framing_reader_take(link->reader, data, bytes)) {
 		sock_close(link->sock);
 		link_lost(link, "garbage");
 		return;
 	}
-	client->heard(client->heard_ctx);
+	client->received(client->received_ctx);
 }
 
 static void on_ended(void *ctx, sock_end_t end)
@@ -110,42 +110,47 @@
 	}
 	link->gatherer = gatherer_ref(gatherer);
 	link->reader = framing_reader_new(read_message, link);
-	link->heard_us = loop_now_us();
+	link->last_received_us = loop_now_us();
 	gatherer->link = link;
 	gatherer->state = GATHERER_OPENS;
 	g_ptr_array_add(client->links, link);
 	hop_client_write(client, gatherer, &(hop_message_t){.type = HOP_PING});
 }
 
-/* One that is late, and says nothing in this time either, or that is no longer chosen. One that
- * stops closes the connection itself, and what starts in its place is found then. */
-static bool is_to_close(const hop_link_t *link, uint64_t now_us)
+/*
+ * Whether to close a connection: its gatherer is late, or has not answered the first ping, and has
+ * sent nothing within the time-out either; or it is no longer chosen and has no request of this VM
+ * left. A gatherer that stops closes the connection itself; the process that replaces it is found
+ * after that.
+ */
+static bool should_close_link(const hop_link_t *link, uint64_t now_us)
 {
 	gatherer_t *gatherer = link->gatherer;
-	bool waits = gatherer->state == GATHERER_OPENS || gatherer->state == GATHERER_SILENT;
+	bool unresponsive = gatherer->state == GATHERER_OPENS || gatherer->state == GATHERER_SILENT;
 	const GPtrArray *chosen = handovers_gatherers(link->client->handovers);
 
 	if (!g_ptr_array_find((GPtrArray *)chosen, gatherer, NULL))
 		return gatherer->out == 0;
-	return waits && now_us > link->heard_us + SILENT_MOST_US;
+	return unresponsive && now_us > link->last_received_us + SILENCE_TIMEOUT_US;
 }
 
-static void close_useless(hop_client_t *client)
+static void close_unneeded_links(hop_client_t *client)
 {
 	uint64_t now_us = loop_now_us();
 
 	for (guint i = client->links->len; i-- > 0;) {
 		hop_link_t *link = g_ptr_array_index(client->links, i);
 
-		if (!is_to_close(link, now_us))
+		if (!should_close_link(link, now_us))
 			continue;
 		sock_close(link->sock);
 		link_lost(link, "useless");
 	}
 }
 
-/* One that is late is asked whether it is there, so that it need not wait for the next request. */
-static void ask_silent(hop_client_t *client)
+/* A late gatherer is pinged, so that it becomes ready again on its answer and not only with the
+ * next request. */
+static void ping_unresponsive(hop_client_t *client)
 {
 	for (guint i = 0; i < client->links->len; i++) {
 		const hop_link_t *link = g_ptr_array_index(client->links, i);
@@ -156,27 +161,27 @@
 	}
 }
 
-void hop_client_look(hop_client_t *client)
+void hop_client_update_links(hop_client_t *client)
 {
 	const GPtrArray *gatherers = handovers_gatherers(client->handovers);
-	uint32_t useful = 0;
+	uint32_t ready = 0;
 
-	close_useless(client);
-	ask_silent(client);
-	for (guint i = 0; i < gatherers->len && useful < LINKS; i++) {
+	close_unneeded_links(client);
+	ping_unresponsive(client);
+	for (guint i = 0; i < gatherers->len && ready < READY_LINKS; i++) {
 		gatherer_t *gatherer = g_ptr_array_index(gatherers, i);
 
 		if (gatherer->state == GATHERER_CLOSED)
 			link_open(client, gatherer);
-		useful += gatherer->state == GATHERER_THERE;
+		ready += gatherer->state == GATHERER_THERE;
 	}
 	if (gatherers->len || client->links->len)
-		loop_timer_set(client->loop, &client->look_timer, LOOK_US);
+		loop_timer_set(client->loop, &client->check_timer, CHECK_PERIOD_US);
 }
 
-static void on_look(void *ctx)
+static void on_check_timer(void *ctx)
 {
-	hop_client_look(ctx);
+	hop_client_update_links(ctx);
 }
 
 hop_client_t *hop_client_new(loop_t *loop, handovers_t *handovers)
@@ -187,14 +192,14 @@
 	client->handovers = handovers;
 	client->links = g_ptr_array_new();
 	client->frame = g_byte_array_new();
-	client->look_timer = (loop_timer_t){.fire = on_look, .ctx = client};
+	client->check_timer = (loop_timer_t){.fire = on_check_timer, .ctx = client};
 	return client;
 }
 
-void hop_client_set_heard(hop_client_t *client, void (*heard)(void *ctx), void *ctx)
+void hop_client_set_received(hop_client_t *client, void (*received)(void *ctx), void *ctx)
 {
-	client->heard = heard;
-	client->heard_ctx = ctx;
+	client->received = received;
+	client->received_ctx = ctx;
 }
 
 void hop_client_write(hop_client_t *client, const gatherer_t *gatherer,
--- a/src/tasks/hop_client.h
+++ b/src/tasks/hop_client.h
@@ -1,6 +1,6 @@
 /**
  * @file hop_client.h
- * Keeps a few connections to the VMs that gather for this one, and tells what they say.
+ * Keeps a few connections to this VM's gatherers, and passes their messages on.
  */
 #ifndef DS_HOP_CLIENT_H
 #define DS_HOP_CLIENT_H
@@ -10,14 +10,14 @@
 
 typedef struct hop_client_t hop_client_t;
 
-/** Connects to the gatherers of @p handovers, and tells those of what is heard. */
+/** Connects to the gatherers of @p handovers, and passes their messages to @p handovers. */
 hop_client_t *hop_client_new(loop_t *loop, handovers_t *handovers);
-/** The gatherers may have changed. */
-void hop_client_look(hop_client_t *client);
-/** Send @p message to @p gatherer, if its connection is still open. */
+/** Open and close connections as needed; call it when the gatherers may have changed. */
+void hop_client_update_links(hop_client_t *client);
+/** Send @p message to @p gatherer if the connection to it is still open. */
 void hop_client_write(hop_client_t *client, const gatherer_t *gatherer,
 		      const hop_message_t *message);
-/** Called when a gatherer has said something. */
-void hop_client_set_heard(hop_client_t *client, void (*heard)(void *ctx), void *ctx);
+/** Set the callback that runs after data from a gatherer was handled or its connection was lost. */
+void hop_client_set_received(hop_client_t *client, void (*received)(void *ctx), void *ctx);
 
 #endif
