--- a/src/dogwoodsaddled.c
+++ b/src/dogwoodsaddled.c
@@ -116,7 +116,7 @@
 	daemon_t *self = ctx;
 	uint64_t now = loop_now_us();
 	uint64_t quiet_us = (uint64_t)self->settings->quiet_ms * 1000;
-	bool idle = self->front ? front_task_open(self->front) == 0
+	bool idle = self->front ? front_task_open_requests(self->front) == 0
 				: caller_task_open(self->callers) == 0 &&
 					  query_task_idle(self->queries);
 	uint64_t last_us = self->front ? front_task_last_request_us(self->front)
@@ -129,7 +129,7 @@
 	if (self->front && drained)
 		front_task_close_idle(self->front);
 	if (self->front && drained && is_end_near(self, now))
-		front_task_refuse(self->front);
+		front_task_stop_accepting(self->front);
 	if ((drained && quiet && idle) || over) {
 		timeline_add(self->timeline, "event=stopped");
 		loop_stop(self->loop);
@@ -146,7 +146,7 @@
 	self->leaving_since_us = loop_now_us();
 	timeline_add(self->timeline, "event=leaving drain_ms=%u", self->settings->drain_ms);
 	if (self->front) {
-		front_task_leave(self->front);
+		front_task_drain(self->front);
 	} else {
 		caller_task_leave(self->callers);
 		peer_task_leave(self->peers);
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -21,13 +21,13 @@
 
 #include <string.h>
 
-/* Shares that were cut after a refusal are given back this often. */
+/* How often connection shares are restored that were reduced after a refused connection. */
 #define SHARES_PERIOD_US 5000000
-/* A request that has waited for a turn of this VM for so long is better off elsewhere: its target
- * may be a tenth of a second. */
-#define BUSY_US 60000
-/* Before a configuration says otherwise. */
-#define FIRST_LIMITS                                                                               \
+/* A handed-over request that has waited longer than this for the event loop is rejected, so that
+ * the taker can use another gatherer: the request's target may be a tenth of a second. */
+#define MAX_QUEUE_DELAY_US 60000
+/* In force until a configuration has been read. */
+#define INITIAL_LIMITS                                                                             \
 	((http_server_limits_t){.message = {.head_bytes = 16384, .body_bytes = 1u << 20},          \
 				.receive_us = 5000000,                                             \
 				.idle_us = 60000000})
@@ -39,23 +39,24 @@
 	registry_t *registry;
 	store_reader_t *reader;
 	link_task_t *links;
-	gather_task_t *gathers; /* handed over to other VMs */
-	hop_server_t *hops;	/* handed over by other VMs */
+	gather_task_t *gathers; /* requests handed over to other VMs */
+	hop_server_t *hops;	/* requests handed over by other VMs */
 	supply_task_t *supply;
 	poison_task_t *poison;
 	platform_task_t *platform;
 	loop_timer_t forwarder_timer;
 	loop_timer_t shares_timer;
-	sharing_t sharing;  /* with whom, as the VMs and the configuration last were */
-	bool fleet_changed; /* it has to be worked out anew */
+	sharing_t
+		sharing; /* this VM's shares, computed from the last known VMs and configuration */
+	bool fleet_changed; /* `sharing` must be recomputed */
 	uint64_t last_request_us;
 	double retry_ratio;
 	uint32_t retry_constant;
 	char *vm_name;
 	char *data_centre;
 	GHashTable *regions; /* data centre to region */
-	bool leaving;
-	bool refusing;
+	bool draining;
+	bool stopped_accepting;
 };
 
 /* ---- time ---- */
@@ -93,8 +94,8 @@
 		link_task_warm(task->links, g_ptr_array_index(pool->searchers, i));
 }
 
-/* Who gathers takes a rank of every VM: not for each change of a searcher. */
-static void take_fleet(front_task_t *task)
+/* Choosing the gatherers ranks every VM, so it is not done on each change of a searcher. */
+static void update_fleet(front_task_t *task)
 {
 	const routing_t *routing = forwarder_routing(task->forwarder);
 	const fleet_t fleet = {.vms = supply_task_vms(task->supply),
@@ -118,15 +119,15 @@
 	loop_timer_set(task->loop, &task->shares_timer, SHARES_PERIOD_US);
 	sharing_update_members(&task->sharing, &members, task->fleet_changed, loop_now_us());
 	if (task->fleet_changed)
-		take_fleet(task);
+		update_fleet(task);
 	registry_set_bound(task->registry, task->retry_ratio, 0);
 	g_hash_table_iter_init(&iter, registry_pools(task->registry));
 	while (g_hash_table_iter_next(&iter, NULL, &pool))
 		set_pool_shares(task, pool, &members);
 }
 
-/* Searchers change in groups; the shares are set once for all of them, in the same turn. */
-static void shares_due(front_task_t *task)
+/* Searchers change in groups: set the shares once per group, in the same iteration of the loop. */
+static void schedule_set_shares(front_task_t *task)
 {
 	loop_timer_set(task->loop, &task->shares_timer, 0);
 }
@@ -134,7 +135,7 @@
 static void fleet_changed(front_task_t *task)
 {
 	task->fleet_changed = true;
-	shares_due(task);
+	schedule_set_shares(task);
 }
 
 static void on_searcher_changed(void *ctx, searcher_t *searcher)
@@ -145,7 +146,7 @@
 		  "evacuated=%d",
 		  searcher_state_name(searcher->state), searcher->id, searcher->service,
 		  searcher->address, searcher->port, searcher->data_centre, searcher->evacuated);
-	shares_due(task);
+	schedule_set_shares(task);
 	if (searcher->state == SEARCHER_ENDED)
 		forwarder_searcher_ended(task->forwarder, searcher, loop_now_us());
 	link_task_searcher_changed(task->links, searcher);
@@ -184,7 +185,7 @@
 	link_task_cancel(((front_task_t *)ctx)->links, sub);
 }
 
-static void on_sub_ended(void *ctx, subrequest_t *sub, sub_reply_t *reply)
+static void on_subrequest_ended(void *ctx, subrequest_t *sub, sub_reply_t *reply)
 {
 	front_task_t *task = ctx;
 
@@ -193,7 +194,7 @@
 	arm_forwarder(task);
 }
 
-static void on_refused(void *ctx, searcher_t *searcher)
+static void on_connection_refused(void *ctx, searcher_t *searcher)
 {
 	front_task_t *task = ctx;
 
@@ -201,12 +202,12 @@
 	arm_forwarder(task);
 }
 
-static void on_listens(void *ctx, searcher_t *searcher, uint64_t since_us)
+static void on_connected(void *ctx, searcher_t *searcher, uint64_t since_us)
 {
 	forwarder_searcher_listens(((front_task_t *)ctx)->forwarder, searcher, since_us);
 }
 
-static void on_room(void *ctx, const char *service)
+static void on_has_capacity(void *ctx, const char *service)
 {
 	front_task_t *task = ctx;
 
@@ -214,51 +215,51 @@
 	arm_forwarder(task);
 }
 
-/* ---- what VMs of this region see of searchers ---- */
+/* ---- observations of searchers, shared between VMs ---- */
 
-static void on_sighted(void *ctx, const observation_t *sighting)
+static void on_observed(void *ctx, const observation_t *observation)
 {
 	front_task_t *task = ctx;
 
-	if (sighting->type == OBSERVATION_HUNG)
+	if (observation->type == OBSERVATION_HUNG)
 		g_message("event=searcher-hangs searcher=%s after_us=%" G_GUINT64_FORMAT
 			  " outcome=avoided",
-			  sighting->searcher, sighting->after_us);
-	supply_task_tell(task->supply, sighting);
+			  observation->searcher, observation->after_us);
+	supply_task_tell(task->supply, observation);
 }
 
-static void on_sighting(void *ctx, const observation_t *sighting)
+static void on_observation_received(void *ctx, const observation_t *observation)
 {
 	front_task_t *task = ctx;
 
-	if (sighting->type == OBSERVATION_HUNG)
+	if (observation->type == OBSERVATION_HUNG)
 		g_info("event=searcher-hangs searcher=%s after_us=%" G_GUINT64_FORMAT
 		       " told_by=other-vm",
-		       sighting->searcher, sighting->after_us);
-	forwarder_take_observation(task->forwarder, sighting, loop_now_us());
+		       observation->searcher, observation->after_us);
+	forwarder_take_observation(task->forwarder, observation, loop_now_us());
 }
 
-/* ---- requests under which searchers end ---- */
+/* ---- requests that crash searchers ---- */
 
-static void on_poison_tell(void *ctx, const poison_update_t *news)
+static void on_poison_publish(void *ctx, const poison_update_t *update)
 {
-	poison_task_publish(((front_task_t *)ctx)->poison, news);
+	poison_task_publish(((front_task_t *)ctx)->poison, update);
 }
 
-static void on_poison_forget(void *ctx, fingerprint_t fingerprint)
+static void on_poison_remove(void *ctx, fingerprint_t fingerprint)
 {
 	poison_task_remove(((front_task_t *)ctx)->poison, fingerprint);
 }
 
-static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *update, const char *what)
 {
 	char text[FINGERPRINT_TEXT_BYTES];
 
 	(void)ctx;
-	fingerprint_format(news->fingerprint, text);
-	g_log(news->strikes > 1 ? LOG_DECISIONS : NULL, G_LOG_LEVEL_MESSAGE,
+	fingerprint_format(update->fingerprint, text);
+	g_log(update->strikes > 1 ? LOG_DECISIONS : NULL, G_LOG_LEVEL_MESSAGE,
 	      "event=poison fingerprint=%s outcome=%s strikes=%u service=%s", text, what,
-	      news->strikes, news->service);
+	      update->strikes, update->service);
 }
 
 static void on_poison_claim(void *ctx, fingerprint_t fingerprint, uint32_t number)
@@ -290,16 +291,16 @@
 	return text ? (hop_bytes_t){.data = text->str, .bytes = text->len} : (hop_bytes_t){0};
 }
 
-static void answer_vm(front_task_t *task, hop_job_t *job, const forward_answer_t *answer)
+static void answer_taker(front_task_t *task, hop_job_t *job, const forward_answer_t *answer)
 {
-	const hop_answer_t told = {.end = answer->outcome,
-				   .parts = answer->parts,
-				   .missing = answer->missing,
-				   .retry_after_us = answer->retry_after_us,
-				   .stamps = bytes_of(answer->stamps),
-				   .records = bytes_of(answer->records)};
+	const hop_answer_t hop_answer = {.end = answer->outcome,
+					 .parts = answer->parts,
+					 .missing = answer->missing,
+					 .retry_after_us = answer->retry_after_us,
+					 .stamps = bytes_of(answer->stamps),
+					 .records = bytes_of(answer->records)};
 
-	hop_server_answer(task->hops, job, &told);
+	hop_server_answer(task->hops, job, &hop_answer);
 }
 
 static void on_answer(void *ctx, forward_t *forward, const forward_answer_t *answer)
@@ -312,7 +313,7 @@
 	front_log_answer(relay->request.id, forward, answer, status,
 			 supply_task_age_us(task->supply));
 	if (relay->job)
-		answer_vm(task, relay->job, answer);
+		answer_taker(task, relay->job, answer);
 	else
 		relay_answer_caller(relay, answer);
 	relay_free(relay);
@@ -320,7 +321,7 @@
 
 /* ---- requests of callers ---- */
 
-static void refuse(http_exchange_t *exchange, const char *reason)
+static void reply_bad_request(http_exchange_t *exchange, const char *reason)
 {
 	g_info("event=request-refused status=400 reason=\"%s\"", reason);
 	http_exchange_reply(exchange, 400, "text/plain", reason, strlen(reason));
@@ -331,16 +332,17 @@
 	forward_t *forward =
 		forwarder_submit(task->forwarder, &relay->request, relay, loop_now_us());
 
-	if (forward) /* else it was answered at once, and the relay is gone */
+	if (forward) /* otherwise on_answer() was called already and freed the relay */
 		relay->forward = forward;
 	arm_forwarder(task);
 }
 
 /*
- * By the version of before, its caller could be answered as if a change had been taken back that he
- * has seen in force. The new version is being read: it comes within some tenths of a second.
+ * A gatherer uses a newer configuration than this VM. Served by the older one, a caller that has
+ * seen a change in force could get an answer as if the change had been reverted. This VM is reading
+ * the new version already, which takes a few tenths of a second.
  */
-static void refuse_behind(front_task_t *task, relay_t *relay)
+static void reject_config_behind(front_task_t *task, relay_t *relay)
 {
 	const forward_answer_t answer = {
 		.outcome = FORWARD_NOT_READY,
@@ -353,7 +355,7 @@
 	relay_free(relay);
 }
 
-static bool is_behind(const front_task_t *task)
+static bool is_config_behind(const front_task_t *task)
 {
 	return forwarder_routing(task->forwarder)->version <
 	       handovers_version(gather_task_handovers(task->gathers));
@@ -361,8 +363,8 @@
 
 static void on_gather_here(void *ctx, relay_t *relay)
 {
-	if (is_behind(ctx))
-		refuse_behind(ctx, relay);
+	if (is_config_behind(ctx))
+		reject_config_behind(ctx, relay);
 	else
 		submit(ctx, relay);
 }
@@ -372,13 +374,16 @@
 	return g_hash_table_lookup(task->regions, task->data_centre);
 }
 
-/* The route of a request that is gathered, or NULL. One that is refused is so here. */
+/*
+ * The route of a request that is gathered, otherwise NULL. NULL also for a request that this VM
+ * refuses: it is refused here, not handed over.
+ */
 static const route_t *gather_route(const front_task_t *task, const relay_t *relay)
 {
 	const routing_t *routing = forwarder_routing(task->forwarder);
 	const route_t *route;
 
-	if (task->refusing || !routing ||
+	if (task->stopped_accepting || !routing ||
 	    forwarder_is_blocked(task->forwarder, relay->request.fingerprint, loop_now_us()))
 		return NULL;
 	route = routing_match(routing, relay->request.host, relay->request.target);
@@ -392,18 +397,18 @@
 	const route_t *route;
 	relay_t *relay;
 
-	if (!task->refusing)
+	if (!task->stopped_accepting)
 		task->last_request_us = loop_now_us();
 	if (*http_message_target(message) != '/' ||
 	    http_message_header_times(message, "Host") != 1) {
-		refuse(exchange, "a path and one Host are required");
+		reply_bad_request(exchange, "a path and one Host are required");
 		return;
 	}
 	relay = relay_from_caller(exchange);
 	http_exchange_set_data(exchange, relay);
 	route = gather_route(task, relay);
-	/* Gatherers are in this VM's region, which need not be its caller's: what must stay in
-	 * other regions goes to none of them. */
+	/* Gatherers are in this VM's region, which may not be the caller's. A request that must
+	 * stay in other regions is handed over to none of them. */
 	if (route && route_allows(route, own_region(task)) &&
 	    gather_task_hand_over(task->gathers, relay, route,
 				  forwarder_routing(task->forwarder)->version))
@@ -414,7 +419,7 @@
 		submit(task, relay);
 }
 
-static void on_gone(void *ctx, http_exchange_t *exchange)
+static void on_disconnected(void *ctx, http_exchange_t *exchange)
 {
 	front_task_t *task = ctx;
 	relay_t *relay = http_exchange_data(exchange);
@@ -440,20 +445,20 @@
 	g_autoptr(GString) records =
 		g_string_new_len(answer->records.data, (gssize)answer->records.bytes);
 	bool answered = answer->end == FORWARD_ANSWERED;
-	const forward_answer_t told = {.outcome = answer->end,
-				       .stamps = answered ? stamps : NULL,
-				       .records = answered ? records : NULL,
-				       .parts = answer->parts,
-				       .missing = answer->missing,
-				       .retry_after_us = answer->retry_after_us};
-
-	front_log_gathered(&relay->request, relay->handover, &told,
+	const forward_answer_t forward_answer = {.outcome = answer->end,
+						 .stamps = answered ? stamps : NULL,
+						 .records = answered ? records : NULL,
+						 .parts = answer->parts,
+						 .missing = answer->missing,
+						 .retry_after_us = answer->retry_after_us};
+
+	front_log_gathered(&relay->request, relay->handover, &forward_answer,
 			   supply_task_age_us(task->supply));
-	relay_answer_caller(relay, &told);
+	relay_answer_caller(relay, &forward_answer);
 	relay_free(relay);
 }
 
-static void on_newer(void *ctx, uint64_t version)
+static void on_newer_version(void *ctx, uint64_t version)
 {
 	front_task_t *task = ctx;
 	const routing_t *routing = forwarder_routing(task->forwarder);
@@ -464,9 +469,9 @@
 
 /* ---- gathers handed over by other VMs ---- */
 
-/* By an older version than it was routed by, a request would be served as if a change that is in
- * force had never been made. */
-static bool hop_takes(void *ctx, const hop_job_t *job, hop_reason_t *reason)
+/* A configuration older than the one that the request was routed by is not used: the request would
+ * be served as if a change that is in force had never been made. */
+static bool hop_accepts(void *ctx, const hop_job_t *job, hop_reason_t *reason)
 {
 	front_task_t *task = ctx;
 	const routing_t *routing = forwarder_routing(task->forwarder);
@@ -476,7 +481,7 @@
 		*reason = HOP_NOT_READY;
 		return false;
 	}
-	if (task->refusing) {
+	if (task->stopped_accepting) {
 		*reason = HOP_STOPS;
 		return false;
 	}
@@ -491,7 +496,7 @@
 		return false;
 	}
 	*reason = HOP_BUSY;
-	return loop_now_us() < job->arrived_us + BUSY_US;
+	return loop_now_us() < job->arrived_us + MAX_QUEUE_DELAY_US;
 }
 
 static uint64_t hop_version(void *ctx)
@@ -507,18 +512,18 @@
 	submit(ctx, relay);
 }
 
-static void hop_more(void *ctx, hop_job_t *job, uint32_t more)
+static void hop_grant(void *ctx, hop_job_t *job, uint32_t count)
 {
 	front_task_t *task = ctx;
 	const relay_t *relay = job->data;
 
 	if (!relay->forward)
 		return;
-	forward_allow_attempts(relay->forward, more, loop_now_us());
+	forward_allow_attempts(relay->forward, count, loop_now_us());
 	arm_forwarder(task);
 }
 
-static void hop_gone(void *ctx, hop_job_t *job)
+static void hop_abandoned(void *ctx, hop_job_t *job)
 {
 	front_task_t *task = ctx;
 	relay_t *relay = job->data;
@@ -529,7 +534,7 @@
 	arm_forwarder(task);
 }
 
-/* ---- what the store says ---- */
+/* ---- changes in the store ---- */
 
 static void on_configured(void *ctx, const routing_t *routing)
 {
@@ -589,7 +594,7 @@
 static void on_ready_request(void *ctx, http_exchange_t *exchange)
 {
 	front_task_t *task = ctx;
-	bool ready = !task->leaving && forwarder_routing(task->forwarder) &&
+	bool ready = !task->draining && forwarder_routing(task->forwarder) &&
 		     registry_is_known(task->registry);
 	const char *text = ready ? "ready\n" : "not ready\n";
 
@@ -616,20 +621,21 @@
 
 static bool listen_all(front_task_t *task, const settings_t *settings)
 {
-	static const http_server_ops_t caller_ops = {.request = on_request, .gone = on_gone};
+	static const http_server_ops_t caller_ops = {.request = on_request,
+						     .gone = on_disconnected};
 	static const http_server_ops_t ready_ops = {.request = on_ready_request};
 	static const http_server_ops_t metrics_ops = {.request = on_metrics_request};
-	static const hop_server_ops_t hop_ops = {.accepts = hop_takes,
+	static const hop_server_ops_t hop_ops = {.accepts = hop_accepts,
 						 .version = hop_version,
 						 .gather = hop_gather,
-						 .grant = hop_more,
-						 .abandoned = hop_gone};
+						 .grant = hop_grant,
+						 .abandoned = hop_abandoned};
 	const endpoint_setting_t *gather = &settings->front_gather;
 	const endpoint_setting_t *front = &settings->front_callers;
 	const endpoint_setting_t *ready = &settings->front_ready;
 	const endpoint_setting_t *metrics = &settings->front_metrics;
 
-	task->callers = http_server_new(task->loop, front->address, front->port, &FIRST_LIMITS,
+	task->callers = http_server_new(task->loop, front->address, front->port, &INITIAL_LIMITS,
 					&caller_ops, task);
 	task->hops = hop_server_new(task->loop, gather->address, gather->port, &hop_ops, task);
 	return task->callers && task->hops &&
@@ -663,8 +669,8 @@
 
 front_task_t *front_task_new(loop_t *loop, const settings_t *settings, platform_task_t *platform)
 {
-	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
-						.remove = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_publish,
+						.remove = on_poison_remove,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims,
@@ -672,25 +678,26 @@
 	static const forwarder_ops_t forwarder_ops = {.send = on_send,
 						      .cancel = on_cancel,
 						      .answer = on_answer,
-						      .observed = on_sighted,
+						      .observed = on_observed,
 						      .poison = &poison_ops};
 	static const link_task_ops_t link_ops = {.write_head = write_head,
 						 .body = body_of,
 						 .id = id_of,
-						 .ended = on_sub_ended,
-						 .connection_refused = on_refused,
-						 .connected = on_listens,
-						 .has_capacity = on_room};
+						 .ended = on_subrequest_ended,
+						 .connection_refused = on_connection_refused,
+						 .connected = on_connected,
+						 .has_capacity = on_has_capacity};
 	static const supply_ops_t supply_ops = {.list_begin = on_list_begin,
 						.object = on_object,
 						.list_end = on_list_end,
 						.lost = on_store_lost,
 						.back = on_store_back,
 						.restored = on_store_restored,
-						.sighting = on_sighting,
+						.sighting = on_observation_received,
 						.members = on_members};
-	static const gather_ops_t gather_ops = {
-		.answer = on_gathered, .gather_here = on_gather_here, .newer_version = on_newer};
+	static const gather_ops_t gather_ops = {.answer = on_gathered,
+						.gather_here = on_gather_here,
+						.newer_version = on_newer_version};
 	front_task_t *task = g_new0(front_task_t, 1);
 
 	task->loop = loop;
@@ -729,16 +736,16 @@
 	run_forwarder(task);
 }
 
-void front_task_leave(front_task_t *task)
+void front_task_drain(front_task_t *task)
 {
-	task->leaving = true;
+	task->draining = true;
 	http_server_leave(task->callers);
 	hop_server_drain(task->hops);
 }
 
-void front_task_refuse(front_task_t *task)
+void front_task_stop_accepting(front_task_t *task)
 {
-	task->refusing = true;
+	task->stopped_accepting = true;
 	forwarder_stop_accepting(task->forwarder);
 }
 
@@ -747,7 +754,7 @@
 	http_server_close_idle(task->callers);
 }
 
-uint32_t front_task_open(const front_task_t *task)
+uint32_t front_task_open_requests(const front_task_t *task)
 {
 	return http_server_open_exchanges(task->callers) + hop_server_open(task->hops);
 }
--- a/src/tasks/front_task.h
+++ b/src/tasks/front_task.h
@@ -1,6 +1,6 @@
 /**
  * @file front_task.h
- * Owns the callers' sockets of a VM that forwards by routes, and the forwarder behind them.
+ * Owns the callers' sockets of a VM that forwards by routes, and the forwarder that serves them.
  */
 #ifndef DS_FRONT_TASK_H
 #define DS_FRONT_TASK_H
@@ -10,20 +10,20 @@
 
 typedef struct front_task_t front_task_t;
 
-/** NULL when an address can't be listened on. */
+/** Returns NULL when the VM can't listen on an address. */
 front_task_t *front_task_new(loop_t *loop, const settings_t *settings, platform_task_t *platform);
-/** Take what a reload may change: the bound on retries. */
+/** Apply the settings that a reload may change: the limit on retries. */
 void front_task_configure(front_task_t *task, const settings_t *settings);
-/** What is known may be old: the VM stood still. It is read again. */
+/** The VM was suspended, so its copy of the store's data may be out of date: read it again. */
 void front_task_refresh(front_task_t *task);
-/** A planned stop begins: not ready, answers tell callers to close, requests are still served. */
-void front_task_leave(front_task_t *task);
-/** Take nothing new: requests to come are refused as not run, and don't count as requests. */
-void front_task_refuse(front_task_t *task);
-/** Close kept connections on which nothing has begun: the end of a planned stop is near. */
+/** Begin a planned stop: report not ready, tell callers to close, but still serve requests. */
+void front_task_drain(front_task_t *task);
+/** Refuse new requests as not run; they no longer count as requests. */
+void front_task_stop_accepting(front_task_t *task);
+/** Near the end of a planned stop: close keep-alive connections on which no request has begun. */
 void front_task_close_idle(front_task_t *task);
-/** Requests not wholly answered yet. */
-uint32_t front_task_open(const front_task_t *task);
+/** Number of requests that are not yet answered completely. */
+uint32_t front_task_open_requests(const front_task_t *task);
 uint64_t front_task_last_request_us(const front_task_t *task);
 
 #endif
