--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -21,7 +21,7 @@
 
 #include <string.h>
 
-/* How often connection shares are restored that were reduced after a refused connection. */
+/* Connection shares that were reduced after a refusal by a searcher are restored this often. */
 #define SHARES_PERIOD_US 5000000
 /* A handed-over request that has waited longer than this for the event loop is rejected, so that
  * the taker can use another gatherer: the request's target may be a tenth of a second. */
@@ -46,8 +46,7 @@
 	platform_task_t *platform;
 	loop_timer_t forwarder_timer;
 	loop_timer_t shares_timer;
-	sharing_t
-		sharing; /* this VM's shares, computed from the last known VMs and configuration */
+	sharing_t sharing;  /* this VM's shares, from the last known VMs and configuration */
 	bool fleet_changed; /* `sharing` must be recomputed */
 	uint64_t last_request_us;
 	double retry_ratio;
--- a/src/tasks/hop_server.c
+++ b/src/tasks/hop_server.c
@@ -15,8 +15,7 @@
 	const hop_server_ops_t *ops;
 	void *ctx;
 	GPtrArray *conns;   /* hop_conn_t */
-	GPtrArray *pending; /* hop_job_t received in this iteration, neither accepted nor rejected
-			       yet */
+	GPtrArray *pending; /* hop_job_t read in this iteration, not yet accepted or rejected */
 	GByteArray *frame;
 	uint32_t open;
 	uint64_t last_us;
