--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -214,7 +214,7 @@
 	arm_forwarder(task);
 }
 
-/* ---- observations of searchers, shared between VMs ---- */
+/* ---- observations of searchers, shared with the VMs of this region ---- */
 
 static void on_observed(void *ctx, const observation_t *observation)
 {
