--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -287,14 +287,14 @@
 	arm(task);
 }
 
-static void on_probed(void *ctx, void *upstream, upstream_report_t *report, probe_end_t result)
+static void on_probed(void *ctx, void *upstream, upstream_report_t *report, probe_result_t result)
 {
 	query_task_t *task = ctx;
 
 	if (result == PROBE_REPORTED) {
 		engine_health(task->engine, upstream, report, loop_now_us());
 		upstream_report_free(report);
-	} else if (result != PROBE_UNKNOWN) {
+	} else if (result != PROBE_INCONCLUSIVE) {
 		engine_health_failed(task->engine, upstream, result == PROBE_REFUSED,
 				     loop_now_us());
 	}
--- a/src/tasks/store_reader.c
+++ b/src/tasks/store_reader.c
@@ -196,7 +196,7 @@
 	else if (kind == STORE_EVACUATIONS)
 		apply_evacuation_object(reader, object);
 	else
-		poison_task_take(reader->poison, object, loop_now_us());
+		poison_task_apply(reader->poison, object, loop_now_us());
 }
 
 void store_reader_list_end(store_reader_t *reader, store_kind_t kind)
