--- a/standins/dataset.c
+++ b/standins/dataset.c
@@ -1,6 +1,6 @@
 /**
  * @file dataset.c
- * See dataset.h.
+ * Generated records; see dataset.h.
  */
 #include "dataset.h"
 
