--- a/standins/bench_core.c
+++ b/standins/bench_core.c
@@ -1,8 +1,10 @@
 /**
  * @file bench_core.c
- * What the decisions alone cost, by size: the slopes that docs/CAPACITY.md is worked out from.
+ * Measures the CPU and memory cost of the engine by number of searchers. docs/CAPACITY.md is
+ * computed from these slopes.
  *
- * The real engine with replies that come at once; no sockets. Prints JSON, a line a measurement.
+ * Runs the real engine without sockets; every sub-request is answered immediately. Prints one line
+ * of JSON for each measurement.
  */
 #include "core/adoption.h"
 #include "core/engine.h"
@@ -18,7 +20,7 @@
 
 typedef struct bench_t {
 	engine_t *engine;
-	GQueue sent; /* attempt ids with what to reply */
+	GQueue sent; /* pending_t: attempts without a reply */
 	uint64_t now_us;
 	uint64_t answers, attempts;
 } bench_t;
@@ -128,8 +130,8 @@
 	for (guint i = 0; i < service->upstreams->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(service->upstreams, i);
 		upstream_report_t *report = upstream_report_new();
-		uint32_t group, of = service->upstreams->len / 3;
-		index_version_t held = {.version = 1, .partition_count = of};
+		uint32_t group, partition_count = service->upstreams->len / 3;
+		index_version_t held = {.version = 1, .partition_count = partition_count};
 
 		sscanf(upstream->name, "s-%u-", &group);
 		held.partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
