--- a/standins/load.c
+++ b/standins/load.c
@@ -1,10 +1,10 @@
 /**
  * @file load.c
- * An open-loop load tool that checks every answer against the generated data set.
+ * An open-loop load generator that checks every answer against the generated data set.
  *
- * Arrivals are fixed in advance and do not wait for answers; latency counts from when a request was
- * due, so that a stall is charged to every request due in it. It stands behind a small balancer:
- * it asks each VM's /readyz and sends only to those that are ready.
+ * Requests are scheduled without waiting for earlier answers, and latency is measured from the
+ * scheduled time, so that a stall counts for every request scheduled during it. A simple load
+ * balancer is built in: it polls /readyz of each VM and sends only to VMs that are ready.
  */
 #include "core/histogram.h"
 #include "dataset.h"
@@ -20,11 +20,11 @@
 #define MIXES_MAX 12
 #define SLOTS 192
 #define BALANCER_PERIOD_US 100000
-#define GRACE_US 3000000
+#define ANSWER_GRACE_US 3000000
 #define PARTITIONS_MAX 65536
 #define PLOT_STEP_US 200000
 
-/** One kind of request in the mix. */
+/** One kind of request in the mix, with its results. */
 typedef struct mix_t {
 	char *service;
 	char kind[8];	/* search, record or action */
@@ -34,7 +34,7 @@
 	char *text;
 	/* results */
 	histogram_t latency;
-	uint64_t sent, whole, partial, refused, failed, cut, wrong;
+	uint64_t sent, complete, partial, refused, failed, lost, wrong;
 	uint64_t slowest_refusal_us;
 	histogram_t refusal_latency;
 	double coverage_sum;
@@ -44,7 +44,7 @@
 	char *address;
 	uint16_t port, admin_port;
 	bool ready, probing;
-	struct shot_t *slots[SLOTS];
+	struct load_request_t *slots[SLOTS];
 } target_vm_t;
 
 typedef struct load_t {
@@ -60,8 +60,8 @@
 	const char *plot_path;
 	GRand *rand;
 	uint64_t start_us, next_due_us, end_us;
-	uint64_t serial, in_flight, moved;
-	GQueue waiting; /* shot_t that found no free slot or no ready VM */
+	uint64_t serial, in_flight, resent;
+	GQueue waiting; /* load_request_t without a free slot or a ready VM */
 	loop_timer_t arrival, balancer, finish;
 	FILE *plot;
 	histogram_t plot_step;
@@ -69,8 +69,8 @@
 	GHashTable *refusal_types; /* type -> count */
 } load_t;
 
-/** One request. */
-typedef struct shot_t {
+/** One generated request. */
+typedef struct load_request_t {
 	load_t *load;
 	mix_t *mix;
 	uint64_t due_us;
@@ -79,7 +79,7 @@
 	uint32_t record;
 	target_vm_t *target;
 	uint32_t slot;
-} shot_t;
+} load_request_t;
 
 /* ---- checking answers ---- */
 
@@ -90,10 +90,10 @@
 	uint32_t number;
 
 	if (!id || sscanf(id, "r%06u", &number) != 1 || number >= records || seen[number])
-		return false; /* foreign, or doubled */
+		return false; /* not in the data set, or a duplicate */
 	seen[number] = true;
 	if (json_integer_value(json_object_get(record, "v")) != snapshot)
-		return false; /* of another snapshot */
+		return false; /* read from another snapshot */
 	return !missing[dataset_partition(id, partitions)];
 }
 
@@ -112,24 +112,25 @@
 	return count;
 }
 
-/* Every record there exactly once, of one snapshot, and the coverage neither more nor less. */
+/* The answer must hold each matching record of the answered partitions exactly once, all from one
+ * snapshot, and its coverage must agree with its list of missing partitions. */
 static bool check_search(const load_t *load, const mix_t *mix, const json_t *body)
 {
 	const json_t *coverage = json_object_get(body, "coverage"),
 		     *records = json_object_get(body, "records");
 	json_int_t partitions = json_integer_value(json_object_get(coverage, "partitions"));
 	json_int_t answered = json_integer_value(json_object_get(coverage, "answered"));
-	json_t *list = json_object_get(coverage, "missing"), *item;
+	json_t *array = json_object_get(coverage, "missing"), *item;
 	bool complete = json_is_true(json_object_get(body, "complete")), good = true;
 	g_autofree bool *missing = g_new0(bool, PARTITIONS_MAX);
 	g_autofree bool *seen = g_new0(bool, load->records);
 	size_t i;
 
 	if (partitions < 1 || partitions > PARTITIONS_MAX ||
-	    answered + (json_int_t)json_array_size(list) != partitions ||
-	    complete != (json_array_size(list) == 0))
+	    answered + (json_int_t)json_array_size(array) != partitions ||
+	    complete != (json_array_size(array) == 0))
 		return false;
-	json_array_foreach (list, i, item)
+	json_array_foreach (array, i, item)
 		missing[json_integer_value(item) % PARTITIONS_MAX] = true;
 	json_array_foreach ((json_t *)records, i, item)
 		good = good &&
@@ -139,7 +140,7 @@
 	       json_array_size(records) == expected_count(load, mix, (uint32_t)partitions, missing);
 }
 
-static bool check_lookup(const shot_t *shot, const json_t *body)
+static bool check_lookup(const load_request_t *request, const json_t *body)
 {
 	const json_t *record = json_object_get(body, "record");
 	const char *id = json_string_value(json_object_get(record, "id"));
@@ -147,22 +148,22 @@
 
 	if (!json_is_true(json_object_get(body, "complete")))
 		return json_is_null(record);
-	dataset_id(wanted, shot->record);
+	dataset_id(wanted, request->record);
 	return id && g_str_equal(id, wanted) &&
 	       json_integer_value(json_object_get(record, "v")) ==
 		       json_integer_value(json_object_get(body, "snapshot"));
 }
 
-static bool check_answer(const shot_t *shot, const json_t *body)
+static bool check_answer(const load_request_t *request, const json_t *body)
 {
 	const char *id = json_string_value(json_object_get(body, "request_id"));
 
-	if (!id || !g_str_equal(id, shot->id))
-		return false; /* somebody else's answer */
-	if (g_str_equal(shot->mix->kind, "search"))
-		return check_search(shot->load, shot->mix, body);
-	if (g_str_equal(shot->mix->kind, "record"))
-		return check_lookup(shot, body);
+	if (!id || !g_str_equal(id, request->id))
+		return false; /* the answer to another request */
+	if (g_str_equal(request->mix->kind, "search"))
+		return check_search(request->load, request->mix, body);
+	if (g_str_equal(request->mix->kind, "record"))
+		return check_lookup(request, body);
 	return g_strcmp0(json_string_value(json_object_get(body, "ran")), "yes") == 0;
 }
 
@@ -174,7 +175,7 @@
 	json_int_t partitions = json_integer_value(json_object_get(coverage, "partitions"));
 
 	if (!coverage || json_is_true(json_object_get(body, "complete"))) {
-		mix->whole++;
+		mix->complete++;
 		mix->coverage_sum += 1;
 		return;
 	}
@@ -214,19 +215,19 @@
 	load->plot_due_us = now + PLOT_STEP_US;
 }
 
-static void record_result(shot_t *shot, const http_call_t *call)
+static void record_result(load_request_t *request, const http_call_t *call)
 {
-	load_t *load = shot->load;
-	mix_t *mix = shot->mix;
-	uint64_t now = loop_now_us(), latency_us = now - shot->due_us;
+	load_t *load = request->load;
+	mix_t *mix = request->mix;
+	uint64_t now = loop_now_us(), latency_us = now - request->due_us;
 	json_t *body = json_loadb(http_call_reply(call)->str, http_call_reply(call)->len, 0, NULL);
 
 	if (http_call_result(call) != HTTP_CALL_REPLIED) {
-		mix->cut++;
+		mix->lost++;
 	} else if (http_call_status(call) == 200) {
 		histogram_add(&mix->latency, latency_us);
 		histogram_add(&load->plot_step, latency_us);
-		if (!check_answer(shot, body)) {
+		if (!check_answer(request, body)) {
 			mix->wrong++;
 			if (getenv("LOAD_SHOW_WRONG"))
 				fprintf(stderr, "%s\n", http_call_reply(call)->str);
@@ -247,30 +248,30 @@
 
 static void send_waiting(load_t *load);
 
-static void shot_finished(void *ctx, http_call_t *call)
+static void request_finished(void *ctx, http_call_t *call)
 {
-	shot_t *shot = ctx;
-	load_t *load = shot->load;
+	load_request_t *request = ctx;
+	load_t *load = request->load;
 
-	shot->target->slots[shot->slot] = NULL;
+	request->target->slots[request->slot] = NULL;
 	if (http_call_result(call) == HTTP_CALL_NOT_SENT) {
-		/* As a balancer does: nothing was sent, so another VM may have it. */
-		shot->target->ready = false;
-		load->moved++;
-		g_queue_push_head(&load->waiting, shot);
+		/* Nothing was sent, so like a load balancer it sends the request to another VM. */
+		request->target->ready = false;
+		load->resent++;
+		g_queue_push_head(&load->waiting, request);
 		send_waiting(load);
 		return;
 	}
-	record_result(shot, call);
+	record_result(request, call);
 	load->in_flight--;
-	g_free(shot);
+	g_free(request);
 	send_waiting(load);
 }
 
-static void start_shot(shot_t *shot, target_vm_t *target, uint32_t slot)
+static void start_request(load_request_t *request, target_vm_t *target, uint32_t slot)
 {
-	mix_t *mix = shot->mix;
-	load_t *load = shot->load;
+	mix_t *mix = request->mix;
+	load_t *load = request->load;
 	char path[160], headers[256], body[128] = "";
 	http_request_t http = {.method = "POST",
 			       .address = target->address,
@@ -278,11 +279,11 @@
 			       .path = path,
 			       .headers = headers,
 			       .body = body,
-			       .finished = shot_finished,
-			       .ctx = shot};
+			       .finished = request_finished,
+			       .ctx = request};
 	int used = snprintf(headers, sizeof(headers),
 			    "request-id: %s\r\nrequest-class: %s\r\nrequest-timeout-ms: %u\r\n",
-			    shot->id, mix->class, mix->timeout_ms);
+			    request->id, mix->class, mix->timeout_ms);
 
 	if (g_str_equal(mix->kind, "search")) {
 		snprintf(path, sizeof(path), "/v1/services/%s/search", mix->service);
@@ -290,21 +291,22 @@
 	} else if (g_str_equal(mix->kind, "record")) {
 		http.method = "GET";
 		snprintf(path, sizeof(path), "/v1/services/%s/records/r%06u", mix->service,
-			 shot->record);
+			 request->record);
 	} else {
 		snprintf(path, sizeof(path), "/v1/services/%s/actions", mix->service);
 		snprintf(headers + used, sizeof(headers) - (size_t)used,
-			 "idempotency-key: %" G_GUINT64_FORMAT "-%s\r\n", loop_wall_ms(), shot->id);
+			 "idempotency-key: %" G_GUINT64_FORMAT "-%s\r\n", loop_wall_ms(),
+			 request->id);
 		strcpy(body, "{}");
 	}
 	http.body_bytes = strlen(body);
-	shot->target = target;
-	shot->slot = slot;
-	target->slots[slot] = shot;
+	request->target = target;
+	request->slot = slot;
+	target->slots[slot] = request;
 	http_pool_start(load->pool, slot, &http);
 }
 
-static bool find_place(load_t *load, target_vm_t **target, uint32_t *slot)
+static bool find_slot(load_t *load, target_vm_t **target, uint32_t *slot)
 {
 	for (uint32_t i = 0; i < load->target_count; i++) {
 		target_vm_t *candidate = &load->targets[load->next_target++ % load->target_count];
@@ -327,11 +329,11 @@
 	target_vm_t *target;
 	uint32_t slot;
 
-	while (load->waiting.head && find_place(load, &target, &slot))
-		start_shot(g_queue_pop_head(&load->waiting), target, slot);
+	while (load->waiting.head && find_slot(load, &target, &slot))
+		start_request(g_queue_pop_head(&load->waiting), target, slot);
 }
 
-static mix_t *draw_mix(load_t *load)
+static mix_t *pick_mix(load_t *load)
 {
 	double sum = 0, point;
 	uint32_t i;
@@ -344,20 +346,20 @@
 	return &load->mixes[i];
 }
 
-static void arrive(load_t *load)
+static void add_arrival(load_t *load)
 {
-	shot_t *shot = g_new0(shot_t, 1);
-
-	shot->load = load;
-	shot->mix = draw_mix(load);
-	shot->due_us = load->next_due_us;
-	shot->serial = ++load->serial;
-	shot->record = (uint32_t)g_rand_int_range(load->rand, 0, (gint32)load->records);
-	snprintf(shot->id, sizeof(shot->id), "load-%d-%" G_GUINT64_FORMAT,
-		 (int)load->start_us & 0xffff, shot->serial);
-	shot->mix->sent++;
+	load_request_t *request = g_new0(load_request_t, 1);
+
+	request->load = load;
+	request->mix = pick_mix(load);
+	request->due_us = load->next_due_us;
+	request->serial = ++load->serial;
+	request->record = (uint32_t)g_rand_int_range(load->rand, 0, (gint32)load->records);
+	snprintf(request->id, sizeof(request->id), "load-%d-%" G_GUINT64_FORMAT,
+		 (int)load->start_us & 0xffff, request->serial);
+	request->mix->sent++;
 	load->in_flight++;
-	g_queue_push_tail(&load->waiting, shot);
+	g_queue_push_tail(&load->waiting, request);
 }
 
 static void on_arrival(void *ctx)
@@ -366,7 +368,7 @@
 	uint64_t now = loop_now_us();
 
 	while (load->next_due_us <= now && load->next_due_us < load->end_us) {
-		arrive(load);
+		add_arrival(load);
 		load->next_due_us +=
 			(uint64_t)(-log(1.0 - g_rand_double(load->rand)) * 1e6 / load->rate) + 1;
 	}
@@ -381,14 +383,14 @@
 {
 	load_t *load = ctx;
 
-	if (load->in_flight && loop_now_us() < load->end_us + GRACE_US) {
+	if (load->in_flight && loop_now_us() < load->end_us + ANSWER_GRACE_US) {
 		loop_timer_set(load->loop, &load->finish, 10000);
 		return;
 	}
 	loop_stop(load->loop);
 }
 
-/* ---- the balancer ---- */
+/* ---- load balancer ---- */
 
 static void probe_finished(void *ctx, http_call_t *call)
 {
@@ -420,7 +422,7 @@
 	loop_timer_set(load->loop, &load->balancer, BALANCER_PERIOD_US);
 }
 
-/* ---- the report ---- */
+/* ---- report ---- */
 
 static double ms(uint64_t us)
 {
@@ -430,16 +432,16 @@
 static json_t *mix_json(const mix_t *mix)
 {
 	const histogram_t *latency = &mix->latency;
-	uint64_t answers = mix->whole + mix->partial;
+	uint64_t answers = mix->complete + mix->partial;
 
 	return json_pack("{s:s, s:s, s:s, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:f, s:f, s:f, s:f, "
 			 "s:f, s:f, s:f, s:f}",
 			 "service", mix->service, "kind", mix->kind, "class", mix->class, "sent",
-			 (json_int_t)mix->sent, "whole", (json_int_t)mix->whole, "partial",
+			 (json_int_t)mix->sent, "whole", (json_int_t)mix->complete, "partial",
 			 (json_int_t)mix->partial, "refused", (json_int_t)mix->refused, "failed",
-			 (json_int_t)mix->failed, "cut", (json_int_t)mix->cut, "wrong",
+			 (json_int_t)mix->failed, "cut", (json_int_t)mix->lost, "wrong",
 			 (json_int_t)mix->wrong, "share_whole",
-			 answers ? (double)mix->whole / (double)answers : 0.0, "mean_coverage",
+			 answers ? (double)mix->complete / (double)answers : 0.0, "mean_coverage",
 			 answers ? mix->coverage_sum / (double)answers : 0.0, "p50_ms",
 			 ms(histogram_quantile_us(latency, 0.5)), "p90_ms",
 			 ms(histogram_quantile_us(latency, 0.9)), "p99_ms",
@@ -461,8 +463,8 @@
 		printf("%-18s %-7s %-10s %8" G_GUINT64_FORMAT " %8" G_GUINT64_FORMAT
 		       " %7" G_GUINT64_FORMAT " %7" G_GUINT64_FORMAT " %6" G_GUINT64_FORMAT
 		       " %5" G_GUINT64_FORMAT " %6" G_GUINT64_FORMAT " %8.1f %8.1f %8.1f %8.1f\n",
-		       mix->service, mix->kind, mix->class, mix->sent, mix->whole, mix->partial,
-		       mix->refused, mix->failed, mix->cut, mix->wrong,
+		       mix->service, mix->kind, mix->class, mix->sent, mix->complete, mix->partial,
+		       mix->refused, mix->failed, mix->lost, mix->wrong,
 		       ms(histogram_quantile_us(h, 0.5)), ms(histogram_quantile_us(h, 0.9)),
 		       ms(histogram_quantile_us(h, 0.99)), ms(histogram_quantile_us(h, 0.999)));
 	}
@@ -470,18 +472,18 @@
 
 static void print_json(load_t *load)
 {
-	json_t *list = json_array(), *types = json_object(), *all;
+	json_t *array = json_array(), *types = json_object(), *all;
 	GHashTableIter iter;
 	gpointer type, count;
 	char *text;
 
 	for (uint32_t i = 0; i < load->mix_count; i++)
-		json_array_append_new(list, mix_json(&load->mixes[i]));
+		json_array_append_new(array, mix_json(&load->mixes[i]));
 	g_hash_table_iter_init(&iter, load->refusal_types);
 	while (g_hash_table_iter_next(&iter, &type, &count))
 		json_object_set_new(types, type, json_integer(GPOINTER_TO_UINT(count)));
-	all = json_pack("{s:o, s:o, s:I, s:I}", "mix", list, "refusals", types, "unanswered",
-			(json_int_t)load->in_flight, "moved", (json_int_t)load->moved);
+	all = json_pack("{s:o, s:o, s:I, s:I}", "mix", array, "refusals", types, "unanswered",
+			(json_int_t)load->in_flight, "moved", (json_int_t)load->resent);
 	text = json_dumps(all, JSON_INDENT(1) | JSON_REAL_PRECISION(6));
 	puts(text);
 	free(text);
@@ -577,13 +579,13 @@
 	loop_stop(((load_t *)ctx)->loop);
 }
 
-/* 0 when every answer was right and none was cut or missing. */
-static int verdict(const load_t *load)
+/* 0 when every answer was correct, no connection was lost and no answer is missing. */
+static int exit_status(const load_t *load)
 {
 	uint64_t bad = load->in_flight;
 
 	for (uint32_t i = 0; i < load->mix_count; i++)
-		bad += load->mixes[i].wrong + load->mixes[i].cut;
+		bad += load->mixes[i].wrong + load->mixes[i].lost;
 	return bad ? 1 : 0;
 }
 
@@ -622,5 +624,5 @@
 		print_json(load);
 	else
 		print_table(load);
-	return verdict(load);
+	return exit_status(load);
 }
