--- a/standins/platform.c
+++ b/standins/platform.c
@@ -1,7 +1,7 @@
 /**
  * @file platform.c
  * A stand-in for the platform: an object API with versions, conditional updates and watches, and a
- * lagging list of VMs. docs/PLATFORM.md describes what it speaks.
+ * lagging list of VMs. docs/PLATFORM.md describes the protocol.
  */
 #include "net/http_server.h"
 
@@ -27,12 +27,12 @@
 	/* faults */
 	bool down;
 	uint64_t slow_us;
-	uint32_t lose_replies; /* this many writes take effect and are answered by silence */
+	uint32_t lose_replies; /* this many writes take effect and get no reply */
 	/* counters */
 	uint64_t reads, writes, conflicts, watch_calls;
 } platform_t;
 
-/** A waiting watch: answered when the object passes `version` or the time is up. */
+/** An open watch: answered when the object's version exceeds `version`, or at its time-out. */
 typedef struct watch_t {
 	platform_t *platform;
 	http_exchange_t *exchange;
@@ -41,7 +41,7 @@
 	loop_timer_t timer;
 } watch_t;
 
-/** A reply held back while the platform is slow. */
+/** A reply that is delayed because the platform is set to be slow. */
 typedef struct slow_reply_t {
 	http_exchange_t *exchange;
 	platform_t *platform;
@@ -204,7 +204,7 @@
 	const char *path = http_exchange_path(exchange);
 
 	if (platform->down)
-		return; /* an outage: silence, as a dead load balancer gives */
+		return; /* an outage: no reply, as from a dead load balancer */
 	if (!g_str_has_prefix(path, "/objects/"))
 		reply_json(platform, exchange, 404, json_pack("{s:s}", "error", "no such path"));
 	else if (g_str_equal(http_exchange_method(exchange), "PUT"))
@@ -213,7 +213,7 @@
 		get_object(platform, exchange, path + strlen("/objects/"));
 }
 
-static void on_gone(void *ctx, http_exchange_t *exchange)
+static void on_disconnected(void *ctx, http_exchange_t *exchange)
 {
 	platform_t *platform = ctx;
 
@@ -242,7 +242,7 @@
 	if ((value = json_object_get(body, "lose_replies")))
 		platform->lose_replies = (uint32_t)json_integer_value(value);
 	json_decref(body);
-	platform->slow_us = 0; /* the control address itself is never slow */
+	platform->slow_us = 0; /* replies of the control port are not delayed */
 	reply_json(platform, exchange, 200,
 		   json_pack("{s:I, s:I, s:I, s:I, s:i}", "reads", (json_int_t)platform->reads,
 			     "writes", (json_int_t)platform->writes, "conflicts",
@@ -290,7 +290,8 @@
 {
 	static const struct argp argp = {options, parse_option, NULL, "A stand-in platform.", 0, 0,
 					 0};
-	static const http_server_ops_t ops = {.request = on_request, .disconnected = on_gone};
+	static const http_server_ops_t ops = {.request = on_request,
+					      .disconnected = on_disconnected};
 	static const http_server_ops_t control = {.request = on_control};
 	platform_t platform = {.address = "127.0.0.1"};
 
