--- a/standins/proxy.c
+++ b/standins/proxy.c
@@ -1,11 +1,13 @@
 /**
  * @file proxy.c
- * A loopback proxy that harms what passes: delays it, drops it one way or both, or cuts it.
+ * A loopback TCP proxy that injects faults: it delays data, drops it in one or both directions, or
+ * closes the connections.
  *
  *     standin-proxy CONTROL LISTEN:TARGET...
  *
- * GET /do?mode=pass|delay|silent|oneway at the control port sets the manner of connections to come
- * and of those that are open, or of those that are open only, with &open=1; mode=cut closes all.
+ * GET /do?mode=pass|delay|silent|oneway at the control port sets the mode of open and of new
+ * connections, or with &open=1 of open connections only; mode=cut closes all connections. "silent"
+ * drops data in both directions, "oneway" drops what the target sends.
  */
 #include "net/http_server.h"
 #include "net/sock.h"
@@ -16,42 +18,42 @@
 
 #define DELAY_US 150000
 
-typedef enum manner_t { PASS, DELAY, SILENT, ONE_WAY } manner_t;
+typedef enum proxy_mode_t { PROXY_PASS, PROXY_DELAY, PROXY_SILENT, PROXY_ONE_WAY } proxy_mode_t;
 
 typedef struct proxy_t {
 	loop_t *loop;
 	GPtrArray *pipes;
-	manner_t manner;
+	proxy_mode_t mode;
 } proxy_t;
 
-/* One end of a passing connection. */
+/* One of the two sockets of a proxied connection. */
 typedef struct side_t {
 	struct pipe_t *pipe;
-	sock_t *sock; /* NULL once it has ended */
+	sock_t *sock; /* NULL once it is closed */
 	bool is_caller;
 } side_t;
 
 typedef struct pipe_t {
 	proxy_t *proxy;
-	manner_t manner;
+	proxy_mode_t mode;
 	side_t caller, target;
-	uint32_t held; /* delayed pieces on their way */
+	uint32_t delayed_chunks; /* received and not yet written */
 } pipe_t;
 
-typedef struct piece_t {
+typedef struct chunk_t {
 	side_t *to;
 	GBytes *bytes;
 	loop_timer_t timer;
-} piece_t;
+} chunk_t;
 
-typedef struct door_t {
+typedef struct forwarded_port_t {
 	proxy_t *proxy;
 	uint16_t target;
-} door_t;
+} forwarded_port_t;
 
-static void free_if_over(pipe_t *pipe)
+static void free_if_closed(pipe_t *pipe)
 {
-	if (pipe->caller.sock || pipe->target.sock || pipe->held)
+	if (pipe->caller.sock || pipe->target.sock || pipe->delayed_chunks)
 		return;
 	g_ptr_array_remove_fast(pipe->proxy->pipes, pipe);
 	g_free(pipe);
@@ -64,24 +66,24 @@
 	side->sock = NULL;
 }
 
-static void give(side_t *to, const char *data, size_t bytes)
+static void write_to_side(side_t *to, const char *data, size_t bytes)
 {
 	if (to->sock)
 		sock_write(to->sock, data, bytes);
 }
 
-static void give_late(void *ctx)
+static void write_delayed_chunk(void *ctx)
 {
-	piece_t *piece = ctx;
-	pipe_t *pipe = piece->to->pipe;
+	chunk_t *chunk = ctx;
+	pipe_t *pipe = chunk->to->pipe;
 	gsize bytes;
-	const char *data = g_bytes_get_data(piece->bytes, &bytes);
+	const char *data = g_bytes_get_data(chunk->bytes, &bytes);
 
-	give(piece->to, data, bytes);
-	g_bytes_unref(piece->bytes);
-	g_free(piece);
-	pipe->held--;
-	free_if_over(pipe);
+	write_to_side(chunk->to, data, bytes);
+	g_bytes_unref(chunk->bytes);
+	g_free(chunk);
+	pipe->delayed_chunks--;
+	free_if_closed(pipe);
 }
 
 static void on_received(void *ctx, const char *data, size_t bytes)
@@ -89,31 +91,31 @@
 	side_t *from = ctx;
 	pipe_t *pipe = from->pipe;
 	side_t *to = from->is_caller ? &pipe->target : &pipe->caller;
-	piece_t *piece;
+	chunk_t *chunk;
 
-	if (pipe->manner == SILENT || (pipe->manner == ONE_WAY && !from->is_caller))
+	if (pipe->mode == PROXY_SILENT || (pipe->mode == PROXY_ONE_WAY && !from->is_caller))
 		return;
-	if (pipe->manner == PASS) {
-		give(to, data, bytes);
+	if (pipe->mode == PROXY_PASS) {
+		write_to_side(to, data, bytes);
 		return;
 	}
-	piece = g_new0(piece_t, 1);
-	piece->to = to;
-	piece->bytes = g_bytes_new(data, bytes);
-	piece->timer = (loop_timer_t){.fire = give_late, .ctx = piece};
-	pipe->held++;
-	loop_timer_set(pipe->proxy->loop, &piece->timer, DELAY_US);
+	chunk = g_new0(chunk_t, 1);
+	chunk->to = to;
+	chunk->bytes = g_bytes_new(data, bytes);
+	chunk->timer = (loop_timer_t){.fire = write_delayed_chunk, .ctx = chunk};
+	pipe->delayed_chunks++;
+	loop_timer_set(pipe->proxy->loop, &chunk->timer, DELAY_US);
 }
 
-static void on_ended(void *ctx, sock_close_reason_t end)
+static void on_side_closed(void *ctx, sock_close_reason_t reason)
 {
 	side_t *side = ctx;
 	pipe_t *pipe = side->pipe;
 
-	(void)end;
+	(void)reason;
 	side->sock = NULL;
 	close_side(side->is_caller ? &pipe->target : &pipe->caller);
-	free_if_over(pipe);
+	free_if_closed(pipe);
 }
 
 static void on_opened(void *ctx)
@@ -122,20 +124,20 @@
 }
 
 static const sock_ops_t side_ops = {
-	.opened = on_opened, .received = on_received, .ended = on_ended};
+	.opened = on_opened, .received = on_received, .ended = on_side_closed};
 
 static void on_accepted(void *ctx, sock_t *sock)
 {
-	door_t *door = ctx;
+	forwarded_port_t *port = ctx;
 	pipe_t *pipe = g_new0(pipe_t, 1);
 
-	pipe->proxy = door->proxy;
-	pipe->manner = door->proxy->manner;
+	pipe->proxy = port->proxy;
+	pipe->mode = port->proxy->mode;
 	pipe->caller = (side_t){.pipe = pipe, .sock = sock, .is_caller = true};
 	pipe->target = (side_t){.pipe = pipe};
-	g_ptr_array_add(door->proxy->pipes, pipe);
+	g_ptr_array_add(port->proxy->pipes, pipe);
 	sock_set_ops(sock, &side_ops, &pipe->caller);
-	pipe->target.sock = sock_connect(door->proxy->loop, "127.0.0.1", door->target, &side_ops,
+	pipe->target.sock = sock_connect(port->proxy->loop, "127.0.0.1", port->target, &side_ops,
 					 &pipe->target);
 }
 
@@ -146,7 +148,7 @@
 
 		close_side(&pipe->caller);
 		close_side(&pipe->target);
-		free_if_over(pipe);
+		free_if_closed(pipe);
 	}
 }
 
@@ -154,18 +156,18 @@
 {
 	static const char *const names[] = {"pass", "delay", "silent", "oneway"};
 	proxy_t *proxy = ctx;
-	const char *mode = http_exchange_param(exchange, "mode");
+	const char *mode_name = http_exchange_param(exchange, "mode");
 	bool only_open = http_exchange_param(exchange, "open") != NULL;
 
-	for (size_t i = 0; mode && i < G_N_ELEMENTS(names); i++) {
-		if (!g_str_equal(mode, names[i]))
+	for (size_t i = 0; mode_name && i < G_N_ELEMENTS(names); i++) {
+		if (!g_str_equal(mode_name, names[i]))
 			continue;
 		if (!only_open)
-			proxy->manner = (manner_t)i;
+			proxy->mode = (proxy_mode_t)i;
 		for (guint j = 0; j < proxy->pipes->len; j++)
-			((pipe_t *)g_ptr_array_index(proxy->pipes, j))->manner = (manner_t)i;
+			((pipe_t *)g_ptr_array_index(proxy->pipes, j))->mode = (proxy_mode_t)i;
 	}
-	if (!g_strcmp0(mode, "cut"))
+	if (!g_strcmp0(mode_name, "cut"))
 		cut_all(proxy);
 	http_exchange_reply(exchange, 200, NULL, "", 0);
 }
@@ -176,14 +178,14 @@
 	loop_stop(((proxy_t *)ctx)->loop);
 }
 
-static bool open_door(proxy_t *proxy, const char *map)
+static bool open_port(proxy_t *proxy, const char *mapping)
 {
-	const char *colon = strchr(map, ':');
-	door_t *door = g_new0(door_t, 1);
+	const char *colon = strchr(mapping, ':');
+	forwarded_port_t *port = g_new0(forwarded_port_t, 1);
 
-	door->proxy = proxy;
-	door->target = colon ? (uint16_t)atoi(colon + 1) : 0;
-	return listener_new(proxy->loop, "127.0.0.1", (uint16_t)atoi(map), on_accepted, door);
+	port->proxy = proxy;
+	port->target = colon ? (uint16_t)atoi(colon + 1) : 0;
+	return listener_new(proxy->loop, "127.0.0.1", (uint16_t)atoi(mapping), on_accepted, port);
 }
 
 int main(int argc, char **argv)
@@ -198,7 +200,7 @@
 		return 2;
 	}
 	for (int i = 2; i < argc; i++)
-		if (!open_door(&proxy, argv[i]))
+		if (!open_port(&proxy, argv[i]))
 			return 1;
 	loop_run(proxy.loop, on_signal, &proxy);
 	return 0;
