--- a/standins/searcher.c
+++ b/standins/searcher.c
@@ -1,7 +1,7 @@
 /**
  * @file searcher.c
  * A stand-in for one searcher: one replica of one group, with slots, a short queue, a connection
- * limit, several index versions and run-time faults. docs/UPSTREAM.md describes what it speaks.
+ * limit, several index versions and run-time faults. docs/UPSTREAM.md describes the protocol.
  */
 #include "dataset.h"
 #include "net/http_server.h"
@@ -15,11 +15,11 @@
 #define VERSIONS_MAX 8
 #define SHED_QUEUE_PER_SLOT 4
 
-/** One index version held here: the numbers of its partitions, of so many in all. */
+/** One index version that this searcher holds, and which of its partitions. */
 typedef struct held_version_t {
 	uint64_t version;
-	uint32_t of;
-	GArray *partitions; /* uint32_t */
+	uint32_t partition_count; /* of the whole index */
+	GArray *partitions;	  /* uint32_t: numbers of the partitions held here */
 } held_version_t;
 
 typedef struct searcher_t {
@@ -35,11 +35,11 @@
 	GRand *rand;
 	GQueue queue;
 	uint32_t running;
-	/* faults, set on the control address */
+	/* faults, set through the control port */
 	bool leaving, cold, shed_all, lie_ready, truncate, wrong_version, drop_reply;
 	double slow_factor;
 	uint32_t slow_one_in;
-	uint64_t silent_up_to; /* connections up to this serial swallow requests */
+	uint64_t unanswered_up_to; /* requests on connections up to this serial get no reply */
 	/* counters */
 	uint64_t started, finished, shed, cancelled, expired, actions, last_start_wall_ms;
 	GHashTable *actions_by_key; /* key -> times run */
@@ -70,7 +70,7 @@
 	return searcher->cold ? "cold" : "ready";
 }
 
-/* The health page may lie; an answer does not. */
+/* With lie_ready the health page always reports "ready"; answers report the true state. */
 static const char *health_state(const searcher_t *searcher)
 {
 	return searcher->lie_ready ? "ready" : true_state(searcher);
@@ -80,7 +80,8 @@
 {
 	double work = (double)searcher->work_us;
 
-	/* Half fixed, half exponential: a mean of work_us with a tail like a real index read. */
+	/* Half constant, half exponential: the mean is work_us, with a tail like that of a real
+	 * index read. */
 	work = work / 2 - work / 2 * log(1.0 - g_rand_double(searcher->rand));
 	if (searcher->slow_factor > 0)
 		work *= searcher->slow_factor;
@@ -119,14 +120,14 @@
 		for (guint j = 0; j < held->partitions->len; j++)
 			json_array_append_new(partitions, json_integer(g_array_index(
 								  held->partitions, uint32_t, j)));
-		json_array_append_new(list, json_pack("{s:I, s:i, s:o}", "version",
-						      (json_int_t)held->version, "of", held->of,
-						      "partitions", partitions));
+		json_array_append_new(
+			list, json_pack("{s:I, s:i, s:o}", "version", (json_int_t)held->version,
+					"of", held->partition_count, "partitions", partitions));
 	}
 	return list;
 }
 
-static bool asked(const json_t *partitions, uint32_t partition)
+static bool is_requested(const json_t *partitions, uint32_t partition)
 {
 	size_t i;
 	json_t *item;
@@ -159,7 +160,7 @@
 		dataset_id(own_id, n);
 		if (id && !g_str_equal(id, own_id))
 			continue;
-		if (!asked(partitions, dataset_partition(own_id, held->of)))
+		if (!is_requested(partitions, dataset_partition(own_id, held->partition_count)))
 			continue;
 		if (dataset_matches(n, text))
 			json_array_append_new(records, dataset_record(n, held->version));
@@ -213,7 +214,7 @@
 	g_hash_table_insert(searcher->actions_by_key, g_strdup(key), GUINT_TO_POINTER(times + 1));
 	searcher->actions++;
 	if (searcher->drop_reply)
-		return; /* the effect is there, the answer is lost */
+		return; /* the action has run, its answer is lost */
 	reply_json(exchange, 200,
 		   json_pack("{s:s, s:s}", "ran", "yes", "state", true_state(searcher)));
 }
@@ -306,7 +307,7 @@
 	searcher_t *searcher = ctx;
 	const char *path = http_exchange_path(exchange);
 
-	if (http_exchange_connection(exchange) <= searcher->silent_up_to)
+	if (http_exchange_connection(exchange) <= searcher->unanswered_up_to)
 		return;
 	if (g_str_equal(path, "/search") || g_str_equal(path, "/action")) {
 		on_work(searcher, exchange);
@@ -320,8 +321,8 @@
 	}
 }
 
-/* A closed connection cancels its request. */
-static void on_gone(void *ctx, http_exchange_t *exchange)
+/* When the connection is closed, its request is cancelled. */
+static void on_disconnected(void *ctx, http_exchange_t *exchange)
 {
 	searcher_t *searcher = ctx;
 	job_t *job = http_exchange_data(exchange);
@@ -351,7 +352,7 @@
 		if (searcher->held_count++ == VERSIONS_MAX)
 			g_error("event=searcher-failed reason=versions");
 		held->version = (uint64_t)json_integer_value(json_object_get(item, "version"));
-		held->of = (uint32_t)json_integer_value(json_object_get(item, "of"));
+		held->partition_count = (uint32_t)json_integer_value(json_object_get(item, "of"));
 		held->partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 		json_array_foreach (json_object_get(item, "partitions"), j, partition) {
 			uint32_t number = (uint32_t)json_integer_value(partition);
@@ -408,7 +409,7 @@
 		searcher->slow_one_in =
 			(uint32_t)json_integer_value(json_object_get(body, "slow_one_in"));
 	if (json_is_true(json_object_get(body, "silence_open_connections")))
-		searcher->silent_up_to = http_server_connections_serial(searcher->server);
+		searcher->unanswered_up_to = http_server_connections_serial(searcher->server);
 	if (json_is_array(json_object_get(body, "versions")))
 		set_versions(searcher, json_object_get(body, "versions"));
 	json_decref(body);
@@ -491,7 +492,7 @@
 			       .records = 400};
 	http_server_ops_t ops = {
 		.request = on_request,
-		.disconnected = on_gone,
+		.disconnected = on_disconnected,
 	};
 	http_server_ops_t control = {.request = on_control};
 
