--- a/standins/users_platform.c
+++ b/standins/users_platform.c
@@ -4,16 +4,20 @@
  * process.
  *
  * Services: shard-0, shard-1, ... and single, each with a searcher in every data centre. The
- * control address takes GET /do?action=...; docs/QUESTIONS.md names the pages that it follows.
+ * control port takes GET /do?action=...; docs/QUESTIONS.md names the pages that this program
+ * follows.
  *
- * A request whose path holds "crash" ends each searcher that runs it: its connections break, its
- * port is closed, and it starts again a while later. "crash=shard-N" ends those of one shard only.
+ * A request whose path contains "crash" crashes each searcher that runs it: the searcher's
+ * connections are lost, its port is closed, and it restarts after a delay. "crash=shard-N" crashes
+ * only searchers of that shard.
  *
- * The store has two doors, each with an address of its own, so that it can turn some VMs away and
- * serve the others: it may be busy there, or silent, when it takes calls and answers none of them.
+ * The store has two endpoints, each with an address of its own, so that it can fail for some VMs
+ * and serve the others. An endpoint may be busy (503), silent (it accepts calls and answers none),
+ * or reset connections.
  *
- * The store may be brought back from a copy (copy, then restore): its era rises. What operators and
- * searchers wrote since is written again by the actions that wrote it.
+ * The store may be restored from an older copy of its data (actions copy, then restore), which
+ * raises its era. What operators and searchers wrote since the copy is written again by repeating
+ * the control actions.
  */
 #include "net/http_server.h"
 
@@ -23,81 +27,82 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SHARDS_MOST 16
+#define SHARDS_MAX 16
 #define RECORDS 8
-#define HISTORY_MOST 512
+#define HISTORY_MAX 512
 #define DATA_CENTRES 2
-#define BODY_MOST_BYTES (1u << 20)
-/* Such a request must not reach searchers often once three have ended under it and this long has
- * passed: the settle time of the users' pages. */
+#define BODY_MAX_BYTES (1u << 20)
+/* Once a request has crashed three searchers and this long has passed, further attempts at it may
+ * reach searchers only rarely: the settle time of the users' pages. */
 #define SETTLE_US 5000000
-#define CRASHES_MOST 3
-/* The rest of a searcher that has ended for having been pressed. */
-#define COLD_MS 3000
-
-typedef enum manner_t {
-	MANNER_OK,
-	MANNER_HANG,
-	MANNER_SHED,
-	MANNER_FAIL,
-	MANNER_FOREIGN,
-	MANNER_CUT, /* closes the connection in place of an answer */
-} manner_t;
-
-/** What callers of the store meet at one of its addresses. */
-typedef enum door_state_t {
-	DOOR_OPEN,
-	DOOR_BUSY,   /* 503 */
-	DOOR_SILENT, /* takes calls, and answers none, later neither */
-	DOOR_RESET,  /* closes the connection in place of an answer */
-} door_state_t;
-
-typedef struct door_t {
-	struct users_t *users;
-	door_state_t state;
-	/* Silent until so long after the first call for the configuration that comes past this
-	 * time; 0: until it is told otherwise. */
-	uint64_t swallow_from_us;
-	loop_timer_t opens;
-} door_t;
-
-#define DOORS 2
-/* From the call that is swallowed last to the store's return. */
-#define SWALLOWED_US 50000
-
-typedef struct users_t {
+#define CRASHES_MAX 3
+/* How long a searcher that crashed by overload is cold after its restart. */
+#define OVERLOAD_COLD_MS 3000
+
+typedef enum searcher_mode_t {
+	SEARCHER_MODE_OK,
+	SEARCHER_MODE_HANG,
+	SEARCHER_MODE_SHED,
+	SEARCHER_MODE_FAIL,
+	SEARCHER_MODE_FOREIGN,
+	SEARCHER_MODE_DISCONNECT, /* closes the connection instead of answering */
+} searcher_mode_t;
+
+/** How an endpoint of the store treats calls. */
+typedef enum endpoint_state_t {
+	ENDPOINT_OPEN,
+	ENDPOINT_BUSY,	 /* 503 */
+	ENDPOINT_SILENT, /* accepts calls and never answers them, not even after it reopens */
+	ENDPOINT_RESET,	 /* closes the connection instead of answering */
+} endpoint_state_t;
+
+typedef struct store_endpoint_t {
+	struct users_platform_t *platform;
+	endpoint_state_t state;
+	/* The silent endpoint reopens REOPEN_DELAY_US after the first call for the configuration
+	 * that it receives from this time on; 0: only a control action reopens it. */
+	uint64_t reopen_from_us;
+	loop_timer_t reopen_timer;
+} store_endpoint_t;
+
+#define STORE_ENDPOINTS 2
+/* From the unanswered call for the configuration to the endpoint's reopening. */
+#define REOPEN_DELAY_US 50000
+
+typedef struct users_platform_t {
 	loop_t *loop;
-	door_t doors[DOORS];
-	int side_port;	/* of the second door; 0: there is none */
-	int pad_routes; /* in each configuration to come */
-	int store_port, control_port, searchers_from, shards, work_ms, advertise, back_ms;
-	int cold_per_s;	     /* requests a second that a cold searcher bears; 0: any number */
-	GHashTable *posted;  /* id of a POST to how often it ran */
-	GHashTable *crashes; /* path to crashes_t */
-	GHashTable *objects; /* "kind/name" to json_t */
-	GPtrArray *history;  /* json_t events, each with "rev" and "kind" */
-	GPtrArray *watches;  /* watch_t */
+	store_endpoint_t endpoints[STORE_ENDPOINTS];
+	int second_store_port; /* of the second endpoint; 0: there is none */
+	int padding_routes;    /* extra routes in each later configuration */
+	int store_port, control_port, first_searcher_port, shards, work_ms, advertise_offset,
+		restart_delay_ms;
+	int cold_per_s;	       /* rate limit of a cold searcher, requests a second; 0: no limit */
+	GHashTable *post_runs; /* request id of a POST to how often it ran */
+	GHashTable *crashes;   /* path to crash_record_t */
+	GHashTable *objects;   /* "kind/name" to json_t */
+	GPtrArray *history;    /* json_t events, each with "rev" and "kind" */
+	GPtrArray *watches;    /* watch_t */
 	GPtrArray *searchers;
 	uint64_t revision;
-	uint64_t born_ms;   /* when this program started */
-	uint64_t forgotten; /* revision up to which history is gone */
+	uint64_t born_ms;	     /* when this program started */
+	uint64_t compacted_revision; /* events up to this revision are discarded */
 	uint64_t calls;
 	uint64_t era;
-	GHashTable *copy;	/* what the objects were when a copy was made; NULL: none was */
-	uint64_t copy_revision; /* and the revision */
-} users_t;
-
-/** What became of a request that ends searchers. */
-typedef struct crashes_t {
-	uint32_t ended;	    /**< searchers */
-	GHashTable *all;    /**< ids of attempts that reached a searcher */
-	uint64_t enough_us; /**< when the third one ended; 0: not yet */
-	GHashTable *late;   /**< ids of attempts that reached a searcher SETTLE_US after that */
-} crashes_t;
+	GHashTable *copy;	/* copied objects; NULL: no copy was made */
+	uint64_t copy_revision; /* revision at the time of the copy */
+} users_platform_t;
+
+/** The effects of a poison request. */
+typedef struct crash_record_t {
+	uint32_t terminated;	   /**< searchers that it crashed */
+	GHashTable *reached;	   /**< ids of attempts that reached a searcher */
+	uint64_t limit_reached_us; /**< when it crashed the third searcher; 0: not yet */
+	GHashTable *late; /**< ids of attempts that reached a searcher SETTLE_US after that */
+} crash_record_t;
 
 typedef struct watch_t {
-	users_t *users;
-	door_t *door;
+	users_platform_t *platform;
+	store_endpoint_t *endpoint;
 	http_exchange_t *exchange;
 	char *kind;
 	uint64_t since;
@@ -105,7 +110,7 @@
 } watch_t;
 
 typedef struct searcher_t {
-	users_t *users;
+	users_platform_t *platform;
 	char id[32];
 	char service[32];
 	int number;
@@ -113,28 +118,28 @@
 	const char *data_centre;
 	http_server_t *server;
 	uint64_t born_ms;
-	uint64_t cold_until_us; /* when it is warm */
-	GArray *cold_us;	/* times of what reached it while it is cold */
-	uint64_t pressed;	/* times that it ended for having been pressed */
-	uint64_t seq;		/* of its entry */
-	uint64_t cold_ms;	/* that its next entry tells */
-	loop_timer_t back;	/* when it starts again */
-	manner_t manner;
+	uint64_t cold_until_us;	   /* from then on it is warm */
+	GArray *cold_arrivals_us;  /* arrival times of requests while it is cold */
+	uint64_t overload_crashes; /* how often it crashed by overload while cold */
+	uint64_t seq;		   /* sequence number of its entry */
+	uint64_t cold_ms;	   /* cold time that its next entry reports */
+	loop_timer_t restart_timer;
+	searcher_mode_t mode;
 	uint64_t runs;
-	uint64_t left; /* callers that closed while it worked */
+	uint64_t disconnected; /* callers that disconnected while it worked */
 } searcher_t;
 
 typedef struct job_t {
 	searcher_t *searcher;
-	http_exchange_t *exchange; /* NULL once the caller has gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	loop_timer_t timer;
 } job_t;
 
-/* ---- the store ---- */
+/* ---- store ---- */
 
-static void add_era(const users_t *users, http_exchange_t *exchange)
+static void add_era(const users_platform_t *platform, http_exchange_t *exchange)
 {
-	g_autofree char *era = g_strdup_printf("%" G_GUINT64_FORMAT, users->era);
+	g_autofree char *era = g_strdup_printf("%" G_GUINT64_FORMAT, platform->era);
 
 	http_exchange_add_header(exchange, "Store-Era", era);
 }
@@ -148,12 +153,12 @@
 	json_decref(body);
 }
 
-static json_t *events_since(const users_t *users, const char *kind, uint64_t since)
+static json_t *events_since(const users_platform_t *platform, const char *kind, uint64_t since)
 {
 	json_t *events = json_array();
 
-	for (guint i = 0; i < users->history->len; i++) {
-		json_t *event = g_ptr_array_index(users->history, i);
+	for (guint i = 0; i < platform->history->len; i++) {
+		json_t *event = g_ptr_array_index(platform->history, i);
 
 		if ((uint64_t)json_integer_value(json_object_get(event, "rev")) > since &&
 		    g_str_equal(json_string_value(json_object_get(event, "kind")), kind))
@@ -164,180 +169,183 @@
 
 static void end_watch(watch_t *watch)
 {
-	users_t *users = watch->users;
+	users_platform_t *platform = watch->platform;
 
-	add_era(users, watch->exchange);
+	add_era(platform, watch->exchange);
 	reply_json(watch->exchange, 200,
-		   json_pack("{s:o,s:I}", "events", events_since(users, watch->kind, watch->since),
-			     "as-of", (json_int_t)users->revision));
+		   json_pack("{s:o,s:I}", "events",
+			     events_since(platform, watch->kind, watch->since), "as-of",
+			     (json_int_t)platform->revision));
 	loop_timer_cancel(&watch->timer);
-	g_ptr_array_remove(users->watches, watch);
+	g_ptr_array_remove(platform->watches, watch);
 	http_exchange_unref(watch->exchange);
 	g_free(watch->kind);
 	g_free(watch);
 }
 
-static void watch_over(void *ctx)
+static void watch_timed_out(void *ctx)
 {
 	end_watch(ctx);
 }
 
-static void wake_watches(users_t *users, const char *kind)
+static void wake_watches(users_platform_t *platform, const char *kind)
 {
-	for (guint i = users->watches->len; i-- > 0;) {
-		watch_t *watch = g_ptr_array_index(users->watches, i);
+	for (guint i = platform->watches->len; i-- > 0;) {
+		watch_t *watch = g_ptr_array_index(platform->watches, i);
 
 		if (g_str_equal(watch->kind, kind))
 			end_watch(watch);
 	}
 }
 
-/* @p spec is taken over; NULL removes the object. */
-static void put(users_t *users, const char *kind, const char *name, json_t *spec)
+/* Takes ownership of @p spec; NULL removes the object. */
+static void put(users_platform_t *platform, const char *kind, const char *name, json_t *spec)
 {
 	g_autofree char *key = g_strdup_printf("%s/%s", kind, name);
 	json_t *object =
 		json_pack("{s:{s:s,s:I},s:o}", "meta", "name", name, "revision",
-			  (json_int_t)++users->revision, "spec", spec ? spec : json_null());
+			  (json_int_t)++platform->revision, "spec", spec ? spec : json_null());
 
-	g_ptr_array_add(users->history,
-			json_pack("{s:I,s:s,s:b,s:O}", "rev", (json_int_t)users->revision, "kind",
-				  kind, "deleted", spec == NULL, "object", object));
-	if (users->history->len > HISTORY_MOST)
-		g_ptr_array_remove_index(users->history, 0);
+	g_ptr_array_add(platform->history,
+			json_pack("{s:I,s:s,s:b,s:O}", "rev", (json_int_t)platform->revision,
+				  "kind", kind, "deleted", spec == NULL, "object", object));
+	if (platform->history->len > HISTORY_MAX)
+		g_ptr_array_remove_index(platform->history, 0);
 	if (spec)
-		g_hash_table_insert(users->objects, g_strdup(key), json_incref(object));
+		g_hash_table_insert(platform->objects, g_strdup(key), json_incref(object));
 	else
-		g_hash_table_remove(users->objects, key);
+		g_hash_table_remove(platform->objects, key);
 	json_decref(object);
-	wake_watches(users, kind);
+	wake_watches(platform, kind);
 }
 
-static void list(users_t *users, http_exchange_t *exchange, const char *kind)
+static void list(users_platform_t *platform, http_exchange_t *exchange, const char *kind)
 {
 	g_autofree char *prefix = g_strdup_printf("%s/", kind);
 	json_t *items = json_array();
 	GHashTableIter iter;
 	gpointer key, object;
 
-	g_hash_table_iter_init(&iter, users->objects);
+	g_hash_table_iter_init(&iter, platform->objects);
 	while (g_hash_table_iter_next(&iter, &key, &object))
 		if (g_str_has_prefix(key, prefix))
 			json_array_append(items, object);
 	reply_json(exchange, 200,
 		   json_pack("{s:o,s:b,s:I}", "items", items, "more", 0, "as-of",
-			     (json_int_t)users->revision));
+			     (json_int_t)platform->revision));
 }
 
-static void watch(door_t *door, http_exchange_t *exchange, const char *kind)
+static void watch(store_endpoint_t *endpoint, http_exchange_t *exchange, const char *kind)
 {
-	users_t *users = door->users;
+	users_platform_t *platform = endpoint->platform;
 	uint64_t since = strtoull(http_exchange_param(exchange, "watch"), NULL, 10);
 	const char *wait = http_exchange_param(exchange, "wait-ms");
 	watch_t *watch;
 
-	if (since < users->forgotten || since > users->revision) {
-		add_era(users, exchange);
+	if (since < platform->compacted_revision || since > platform->revision) {
+		add_era(platform, exchange);
 		reply_json(exchange, 410, json_object());
 		return;
 	}
 	watch = g_new0(watch_t, 1);
-	watch->users = users;
-	watch->door = door;
+	watch->platform = platform;
+	watch->endpoint = endpoint;
 	watch->exchange = http_exchange_ref(exchange);
 	watch->kind = g_strdup(kind);
 	watch->since = since;
-	g_ptr_array_add(users->watches, watch);
-	watch->timer = (loop_timer_t){.fire = watch_over, .ctx = watch};
-	loop_timer_set(users->loop, &watch->timer, strtoull(wait ? wait : "0", NULL, 10) * 1000);
-	if (users->revision > since) {
-		json_t *events = events_since(users, kind, since);
-		bool some = json_array_size(events) > 0;
+	g_ptr_array_add(platform->watches, watch);
+	watch->timer = (loop_timer_t){.fire = watch_timed_out, .ctx = watch};
+	loop_timer_set(platform->loop, &watch->timer, strtoull(wait ? wait : "0", NULL, 10) * 1000);
+	if (platform->revision > since) {
+		json_t *events = events_since(platform, kind, since);
+		bool has_events = json_array_size(events) > 0;
 
 		json_decref(events);
-		if (some)
+		if (has_events)
 			end_watch(watch);
 	}
 }
 
-static void write_object(users_t *users, http_exchange_t *exchange, const char *kind,
+static void write_object(users_platform_t *platform, http_exchange_t *exchange, const char *kind,
 			 const char *name)
 {
 	json_t *body = json_loads(http_exchange_body(exchange)->str, 0, NULL);
 	const char *own = json_string_value(json_object_get(json_object_get(body, "meta"), "name"));
 	g_autofree char *key = g_strdup_printf("%s/%s", kind, name ? name : own ? own : "");
-	bool exists = g_hash_table_contains(users->objects, key);
+	bool exists = g_hash_table_contains(platform->objects, key);
 
 	if (!own)
 		reply_json(exchange, 400, json_object());
 	else if (!name && exists)
 		reply_json(exchange, 409, json_object());
 	else {
-		put(users, kind, own, json_incref(json_object_get(body, "spec")));
+		put(platform, kind, own, json_incref(json_object_get(body, "spec")));
 		reply_json(exchange, 200, json_object());
 	}
 	json_decref(body);
 }
 
-static void delete_object(users_t *users, http_exchange_t *exchange, const char *kind,
+static void delete_object(users_platform_t *platform, http_exchange_t *exchange, const char *kind,
 			  const char *name)
 {
 	g_autofree char *key = g_strdup_printf("%s/%s", kind, name);
-	bool exists = g_hash_table_contains(users->objects, key);
+	bool exists = g_hash_table_contains(platform->objects, key);
 
 	if (exists)
-		put(users, kind, name, NULL);
+		put(platform, kind, name, NULL);
 	reply_json(exchange, exists ? 200 : 404, json_object());
 }
 
-static void open_door(void *ctx)
+static void reopen_endpoint(void *ctx)
 {
-	((door_t *)ctx)->state = DOOR_OPEN;
+	((store_endpoint_t *)ctx)->state = ENDPOINT_OPEN;
 }
 
-/* Watches that wait are swallowed with what comes from now on. */
-static void swallow_watches(door_t *door)
+/* Drops the open watches of a silent endpoint without a reply, like the calls it receives. */
+static void drop_watches(store_endpoint_t *endpoint)
 {
-	users_t *users = door->users;
+	users_platform_t *platform = endpoint->platform;
 
-	for (guint i = users->watches->len; i-- > 0;) {
-		watch_t *watch = g_ptr_array_index(users->watches, i);
+	for (guint i = platform->watches->len; i-- > 0;) {
+		watch_t *watch = g_ptr_array_index(platform->watches, i);
 
-		if (watch->door != door)
+		if (watch->endpoint != endpoint)
 			continue;
 		loop_timer_cancel(&watch->timer);
-		g_ptr_array_remove_index(users->watches, i);
+		g_ptr_array_remove_index(platform->watches, i);
 		g_free(watch->kind);
 		g_free(watch);
 	}
 }
 
-static void set_door(door_t *door, door_state_t state, uint64_t swallow_after_ms)
+static void set_endpoint(store_endpoint_t *endpoint, endpoint_state_t state,
+			 uint64_t reopen_after_ms)
 {
-	loop_timer_cancel(&door->opens);
-	door->state = state;
-	door->swallow_from_us = swallow_after_ms ? loop_now_us() + swallow_after_ms * 1000 : 0;
-	if (state == DOOR_SILENT)
-		swallow_watches(door);
+	loop_timer_cancel(&endpoint->reopen_timer);
+	endpoint->state = state;
+	endpoint->reopen_from_us = reopen_after_ms ? loop_now_us() + reopen_after_ms * 1000 : 0;
+	if (state == ENDPOINT_SILENT)
+		drop_watches(endpoint);
 }
 
-/* False when the door is closed to the call. */
-static bool pass_door(door_t *door, http_exchange_t *exchange)
+/* Returns whether the endpoint serves the call; if not, it rejects, resets or ignores the call. */
+static bool endpoint_admits(store_endpoint_t *endpoint, http_exchange_t *exchange)
 {
-	switch (door->state) {
-	case DOOR_OPEN:
+	switch (endpoint->state) {
+	case ENDPOINT_OPEN:
 		return true;
-	case DOOR_BUSY:
+	case ENDPOINT_BUSY:
 		http_exchange_reply(exchange, 503, NULL, "", 0);
 		break;
-	case DOOR_RESET:
+	case ENDPOINT_RESET:
 		http_exchange_abort(exchange);
 		break;
-	case DOOR_SILENT:
-		if (door->swallow_from_us && loop_now_us() >= door->swallow_from_us &&
-		    !door->opens.entry.heap_position &&
+	case ENDPOINT_SILENT:
+		if (endpoint->reopen_from_us && loop_now_us() >= endpoint->reopen_from_us &&
+		    !endpoint->reopen_timer.entry.heap_position &&
 		    g_str_has_prefix(http_exchange_path(exchange), "/objects/config"))
-			loop_timer_set(door->users->loop, &door->opens, SWALLOWED_US);
+			loop_timer_set(endpoint->platform->loop, &endpoint->reopen_timer,
+				       REOPEN_DELAY_US);
 		break;
 	}
 	return false;
@@ -345,32 +353,32 @@
 
 static void on_store(void *ctx, http_exchange_t *exchange)
 {
-	door_t *door = ctx;
-	users_t *users = door->users;
+	store_endpoint_t *endpoint = ctx;
+	users_platform_t *platform = endpoint->platform;
 	g_auto(GStrv) path = g_strsplit(http_exchange_path(exchange), "/", 0);
 	guint parts = g_strv_length(path);
 
-	users->calls++;
-	if (!pass_door(door, exchange))
+	platform->calls++;
+	if (!endpoint_admits(endpoint, exchange))
 		return;
 	if (parts < 3) {
 		http_exchange_reply(exchange, 404, NULL, "", 0);
 		return;
 	}
 	if (!http_exchange_param(exchange, "watch"))
-		add_era(users, exchange);
+		add_era(platform, exchange);
 	if (g_str_equal(http_exchange_method(exchange), "DELETE") && parts > 3)
-		delete_object(users, exchange, path[2], path[3]);
+		delete_object(platform, exchange, path[2], path[3]);
 	else if (!g_str_equal(http_exchange_method(exchange), "GET"))
-		write_object(users, exchange, path[2], parts > 3 ? path[3] : NULL);
+		write_object(platform, exchange, path[2], parts > 3 ? path[3] : NULL);
 	else if (http_exchange_param(exchange, "watch"))
-		watch(door, exchange, path[2]);
+		watch(endpoint, exchange, path[2]);
 	else
-		list(users, exchange, path[2]);
+		list(platform, exchange, path[2]);
 }
 
-/* Objects are replaced, never changed. */
-static GHashTable *copy_of(GHashTable *objects)
+/* A shallow copy is enough, because objects are replaced and never modified. */
+static GHashTable *copy_objects(GHashTable *objects)
 {
 	GHashTable *copy =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)json_decref);
@@ -383,35 +391,35 @@
 	return copy;
 }
 
-static void make_copy(users_t *users)
+static void make_copy(users_platform_t *platform)
 {
-	if (users->copy)
-		g_hash_table_unref(users->copy);
-	users->copy = copy_of(users->objects);
-	users->copy_revision = users->revision;
+	if (platform->copy)
+		g_hash_table_unref(platform->copy);
+	platform->copy = copy_objects(platform->objects);
+	platform->copy_revision = platform->revision;
 }
 
-/* Revisions go back and are given out again; watches that wait are cut off. */
-static void come_back_from_copy(users_t *users)
+/* Revision numbers go back to those of the copy and are used again; all open watches end. */
+static void restore_copy(users_platform_t *platform)
 {
-	if (!users->copy)
+	if (!platform->copy)
 		return;
-	users->era++;
-	g_hash_table_unref(users->objects);
-	users->objects = copy_of(users->copy);
-	users->revision = users->copy_revision;
-	users->forgotten = users->copy_revision;
-	g_ptr_array_set_size(users->history, 0);
-	while (users->watches->len)
-		end_watch(g_ptr_array_index(users->watches, 0));
+	platform->era++;
+	g_hash_table_unref(platform->objects);
+	platform->objects = copy_objects(platform->copy);
+	platform->revision = platform->copy_revision;
+	platform->compacted_revision = platform->copy_revision;
+	g_ptr_array_set_size(platform->history, 0);
+	while (platform->watches->len)
+		end_watch(g_ptr_array_index(platform->watches, 0));
 }
 
-static void on_store_gone(void *ctx, http_exchange_t *exchange)
+static void on_store_disconnected(void *ctx, http_exchange_t *exchange)
 {
-	users_t *users = ((door_t *)ctx)->users;
+	users_platform_t *platform = ((store_endpoint_t *)ctx)->platform;
 
-	for (guint i = 0; i < users->watches->len; i++) {
-		watch_t *watch = g_ptr_array_index(users->watches, i);
+	for (guint i = 0; i < platform->watches->len; i++) {
+		watch_t *watch = g_ptr_array_index(platform->watches, i);
 
 		if (watch->exchange == exchange) {
 			end_watch(watch);
@@ -422,7 +430,7 @@
 
 /* ---- searchers ---- */
 
-/* Records that tell the shard and their rank, so that a test can say what the merge must be. */
+/* Each record contains its shard and rank, so that a test can compute the expected merge. */
 static void write_records(const searcher_t *searcher, GString *out)
 {
 	for (int i = 0; i < RECORDS; i++)
@@ -430,16 +438,16 @@
 				       (RECORDS - i) * 100 + searcher->number, searcher->number, i);
 }
 
-static crashes_t *crashes_of(users_t *users, const char *path)
+static crash_record_t *crash_record_for(users_platform_t *platform, const char *path)
 {
-	crashes_t *crashes = g_hash_table_lookup(users->crashes, path);
+	crash_record_t *crashes = g_hash_table_lookup(platform->crashes, path);
 
 	if (crashes)
 		return crashes;
-	crashes = g_new0(crashes_t, 1);
-	crashes->all = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	crashes = g_new0(crash_record_t, 1);
+	crashes->reached = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	crashes->late = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	g_hash_table_insert(users->crashes, g_strdup(path), crashes);
+	g_hash_table_insert(platform->crashes, g_strdup(path), crashes);
 	return crashes;
 }
 
@@ -451,29 +459,29 @@
 	return found && (!only || g_str_equal(only, searcher->service));
 }
 
-static void note_arrival(searcher_t *searcher, http_exchange_t *exchange)
+static void record_arrival(searcher_t *searcher, http_exchange_t *exchange)
 {
 	const char *id = http_exchange_header(exchange, "Dogwoodsaddle-Request-Id");
-	crashes_t *crashes;
+	crash_record_t *crashes;
 
 	if (!is_crashed_by(searcher, exchange))
 		return;
-	crashes = crashes_of(searcher->users, http_exchange_path(exchange));
-	g_hash_table_add(crashes->all, g_strdup(id ? id : ""));
-	if (crashes->enough_us && loop_now_us() > crashes->enough_us + SETTLE_US)
+	crashes = crash_record_for(searcher->platform, http_exchange_path(exchange));
+	g_hash_table_add(crashes->reached, g_strdup(id ? id : ""));
+	if (crashes->limit_reached_us && loop_now_us() > crashes->limit_reached_us + SETTLE_US)
 		g_hash_table_add(crashes->late, g_strdup(id ? id : ""));
 }
 
-/* Whatever else it works on is lost with it. */
-static void crash(searcher_t *searcher, crashes_t *crashes)
+/* All other requests that the searcher is running are lost too. */
+static void crash(searcher_t *searcher, crash_record_t *crashes)
 {
 	http_server_t *server = searcher->server;
 
-	if (++crashes->ended == CRASHES_MOST)
-		crashes->enough_us = loop_now_us();
+	if (++crashes->terminated == CRASHES_MAX)
+		crashes->limit_reached_us = loop_now_us();
 	searcher->server = NULL;
-	loop_timer_set(searcher->users->loop, &searcher->back,
-		       (uint64_t)searcher->users->back_ms * 1000);
+	loop_timer_set(searcher->platform->loop, &searcher->restart_timer,
+		       (uint64_t)searcher->platform->restart_delay_ms * 1000);
 	http_server_free(server);
 }
 
@@ -487,10 +495,10 @@
 	const char *id;
 
 	if (exchange && is_crashed_by(searcher, exchange)) {
-		crash(searcher, crashes_of(searcher->users, http_exchange_path(exchange)));
+		crash(searcher, crash_record_for(searcher->platform, http_exchange_path(exchange)));
 		return;
 	}
-	if (exchange && searcher->manner == MANNER_CUT) {
+	if (exchange && searcher->mode == SEARCHER_MODE_DISCONNECT) {
 		http_exchange_abort(exchange);
 		return;
 	}
@@ -500,34 +508,34 @@
 		write_records(searcher, body);
 		http_exchange_set_data(exchange, NULL);
 		http_exchange_add_header(exchange, "Dogwoodsaddle-Request-Id",
-					 searcher->manner == MANNER_FOREIGN ? "other" : id);
+					 searcher->mode == SEARCHER_MODE_FOREIGN ? "other" : id);
 		http_exchange_add_header(exchange, "Dogwoodsaddle-Response-Signature", stamp);
 		http_exchange_add_header(exchange, "Dogwoodsaddle-Server-Load", "1,0,2,100");
-		http_exchange_reply(exchange, searcher->manner == MANNER_FAIL ? 500 : 200, NULL,
-				    body->str, body->len);
+		http_exchange_reply(exchange, searcher->mode == SEARCHER_MODE_FAIL ? 500 : 200,
+				    NULL, body->str, body->len);
 		http_exchange_unref(exchange);
 	}
 	g_free(job);
 }
 
-static void note_posted(users_t *users, http_exchange_t *exchange)
+static void count_post_run(users_platform_t *platform, http_exchange_t *exchange)
 {
 	const char *id = http_exchange_header(exchange, "Dogwoodsaddle-Request-Id");
 	guint times;
 
 	if (!id || !g_str_equal(http_exchange_method(exchange), "POST"))
 		return;
-	times = GPOINTER_TO_UINT(g_hash_table_lookup(users->posted, id));
-	g_hash_table_insert(users->posted, g_strdup(id), GUINT_TO_POINTER(times + 1));
+	times = GPOINTER_TO_UINT(g_hash_table_lookup(platform->post_runs, id));
+	g_hash_table_insert(platform->post_runs, g_strdup(id), GUINT_TO_POINTER(times + 1));
 }
 
-static json_t *posted(const users_t *users)
+static json_t *post_runs_json(const users_platform_t *platform)
 {
 	json_t *all = json_object();
 	GHashTableIter iter;
 	gpointer id, times;
 
-	g_hash_table_iter_init(&iter, users->posted);
+	g_hash_table_iter_init(&iter, platform->post_runs);
 	while (g_hash_table_iter_next(&iter, &id, &times))
 		json_object_set_new(all, id, json_integer(GPOINTER_TO_UINT(times)));
 	return all;
@@ -538,41 +546,41 @@
 	job_t *job = g_new0(job_t, 1);
 
 	searcher->runs++;
-	note_arrival(searcher, exchange);
-	note_posted(searcher->users, exchange);
+	record_arrival(searcher, exchange);
+	count_post_run(searcher->platform, exchange);
 	job->searcher = searcher;
 	job->exchange = http_exchange_ref(exchange);
 	job->timer = (loop_timer_t){.fire = answer, .ctx = job};
 	http_exchange_set_data(exchange, job);
-	if (searcher->manner != MANNER_HANG)
-		loop_timer_set(searcher->users->loop, &job->timer,
-			       (uint64_t)searcher->users->work_ms * 1000);
+	if (searcher->mode != SEARCHER_MODE_HANG)
+		loop_timer_set(searcher->platform->loop, &job->timer,
+			       (uint64_t)searcher->platform->work_ms * 1000);
 }
 
-/* By the users' rule: more than half beyond what it bears, and five, in one second. */
-static bool is_pressed(searcher_t *searcher)
+/* The users' rule: overloaded by more than 1.5 times its rate limit plus 5 requests in a second. */
+static bool is_overloaded(searcher_t *searcher)
 {
 	uint64_t now_us = loop_now_us();
 	uint32_t within = 0;
 
-	if (!searcher->users->cold_per_s || now_us >= searcher->cold_until_us)
+	if (!searcher->platform->cold_per_s || now_us >= searcher->cold_until_us)
 		return false;
-	g_array_append_val(searcher->cold_us, now_us);
-	for (guint i = 0; i < searcher->cold_us->len; i++)
-		within += g_array_index(searcher->cold_us, uint64_t, i) + 1000000 > now_us;
-	return within > searcher->users->cold_per_s * 1.5 + 5;
+	g_array_append_val(searcher->cold_arrivals_us, now_us);
+	for (guint i = 0; i < searcher->cold_arrivals_us->len; i++)
+		within += g_array_index(searcher->cold_arrivals_us, uint64_t, i) + 1000000 > now_us;
+	return within > searcher->platform->cold_per_s * 1.5 + 5;
 }
 
-/* It ends, and starts again cold. */
-static void end_pressed(searcher_t *searcher)
+/* The searcher terminates, and is cold after its restart. */
+static void crash_overloaded(searcher_t *searcher)
 {
 	http_server_t *server = searcher->server;
 
-	searcher->pressed++;
+	searcher->overload_crashes++;
 	searcher->server = NULL;
-	searcher->cold_ms = COLD_MS;
-	loop_timer_set(searcher->users->loop, &searcher->back,
-		       (uint64_t)searcher->users->back_ms * 1000);
+	searcher->cold_ms = OVERLOAD_COLD_MS;
+	loop_timer_set(searcher->platform->loop, &searcher->restart_timer,
+		       (uint64_t)searcher->platform->restart_delay_ms * 1000);
 	http_server_free(server);
 }
 
@@ -583,9 +591,9 @@
 
 	if (expected && !g_str_equal(expected, searcher->id)) {
 		http_exchange_reply(exchange, 421, NULL, "", 0);
-	} else if (is_pressed(searcher)) {
-		end_pressed(searcher);
-	} else if (searcher->manner == MANNER_SHED) {
+	} else if (is_overloaded(searcher)) {
+		crash_overloaded(searcher);
+	} else if (searcher->mode == SEARCHER_MODE_SHED) {
 		http_exchange_add_header(exchange, "Dogwoodsaddle-Not-Executed", "1");
 		http_exchange_reply(exchange, 503, NULL, "", 0);
 	} else {
@@ -593,14 +601,14 @@
 	}
 }
 
-static void on_searcher_gone(void *ctx, http_exchange_t *exchange)
+static void on_searcher_disconnected(void *ctx, http_exchange_t *exchange)
 {
 	searcher_t *searcher = ctx;
 	job_t *job = http_exchange_data(exchange);
 
 	if (!job)
 		return;
-	searcher->left++;
+	searcher->disconnected++;
 	loop_timer_cancel(&job->timer);
 	http_exchange_unref(job->exchange);
 	g_free(job);
@@ -608,12 +616,12 @@
 
 static void register_searcher(searcher_t *searcher, const char *state)
 {
-	g_autofree char *address =
-		g_strdup_printf("127.0.0.1:%d", searcher->port + searcher->users->advertise);
+	g_autofree char *address = g_strdup_printf(
+		"127.0.0.1:%d", searcher->port + searcher->platform->advertise_offset);
 
 	searcher->cold_until_us = loop_now_us() + searcher->cold_ms * 1000;
-	g_array_set_size(searcher->cold_us, 0);
-	put(searcher->users, "servers", searcher->id,
+	g_array_set_size(searcher->cold_arrivals_us, 0);
+	put(searcher->platform, "servers", searcher->id,
 	    json_pack("{s:s,s:s,s:s,s:s,s:i,s:s,s:I,s:I,s:I}", "service", searcher->service,
 		      "address", address, "zone", searcher->data_centre, "version", "v1", "slots",
 		      2, "state", state, "cold-remaining-ms", (json_int_t)searcher->cold_ms, "seq",
@@ -623,15 +631,15 @@
 static bool listen_at_port(searcher_t *searcher)
 {
 	static const http_server_ops_t ops = {.request = on_searcher,
-					      .disconnected = on_searcher_gone};
+					      .disconnected = on_searcher_disconnected};
 
 	searcher->server =
-		http_server_new(searcher->users->loop, "127.0.0.1", (uint16_t)searcher->port,
-				&HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES), &ops, searcher);
+		http_server_new(searcher->platform->loop, "127.0.0.1", (uint16_t)searcher->port,
+				&HTTP_SERVER_INTERNAL_LIMITS(BODY_MAX_BYTES), &ops, searcher);
 	return searcher->server != NULL;
 }
 
-static void start_again(void *ctx)
+static void restart_searcher(void *ctx)
 {
 	searcher_t *searcher = ctx;
 
@@ -641,21 +649,22 @@
 	register_searcher(searcher, "ready");
 }
 
-static bool start_searcher(users_t *users, const char *service, int number, int data_centre)
+static bool start_searcher(users_platform_t *platform, const char *service, int number,
+			   int data_centre)
 {
 	static const char *const names[DATA_CENTRES] = {"here", "there"};
 	searcher_t *searcher = g_new0(searcher_t, 1);
 
-	searcher->users = users;
+	searcher->platform = platform;
 	searcher->number = number;
-	searcher->port = users->searchers_from + (int)users->searchers->len;
+	searcher->port = platform->first_searcher_port + (int)platform->searchers->len;
 	searcher->data_centre = names[data_centre];
 	g_strlcpy(searcher->service, service, sizeof(searcher->service));
 	g_snprintf(searcher->id, sizeof(searcher->id), "i-%s-%s", service, names[data_centre]);
-	searcher->born_ms = users->born_ms;
-	searcher->cold_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	searcher->back = (loop_timer_t){.fire = start_again, .ctx = searcher};
-	g_ptr_array_add(users->searchers, searcher);
+	searcher->born_ms = platform->born_ms;
+	searcher->cold_arrivals_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	searcher->restart_timer = (loop_timer_t){.fire = restart_searcher, .ctx = searcher};
+	g_ptr_array_add(platform->searchers, searcher);
 	if (!listen_at_port(searcher))
 		return false;
 	register_searcher(searcher, "ready");
@@ -672,7 +681,7 @@
 			 "min-coverage", 0.6);
 }
 
-static void configure(users_t *users, int version)
+static void configure(users_platform_t *platform, int version)
 {
 	json_t *find = route("find", "find.example", "/find/", "idempotent");
 	json_t *get = route("get", "get.example", "/get/", "idempotent");
@@ -682,18 +691,18 @@
 	json_t *shards = json_array(), *services = json_array();
 	json_t *routes = json_pack("[o,o,o,o,o]", find, get, act, home, kept);
 
-	for (int i = 0; i < users->shards; i++) {
+	for (int i = 0; i < platform->shards; i++) {
 		g_autofree char *name = g_strdup_printf("shard-%d", i);
 
 		json_array_append_new(shards, json_string(name));
 		json_array_append_new(services, json_pack("{s:s,s:i,s:i,s:i}", "name", name,
 							  "max-connections", 25, "cold-start-s", 3,
-							  "cold-per-s", users->cold_per_s));
+							  "cold-per-s", platform->cold_per_s));
 	}
 	json_array_append_new(services,
 			      json_pack("{s:s,s:i,s:i,s:i}", "name", "single", "max-connections",
-					25, "cold-start-s", 3, "cold-per-s", users->cold_per_s));
-	for (int i = 0; i < users->pad_routes; i++) {
+					25, "cold-start-s", 3, "cold-per-s", platform->cold_per_s));
+	for (int i = 0; i < platform->padding_routes; i++) {
 		g_autofree char *name = g_strdup_printf("pad-%d", i);
 		g_autofree char *prefix = g_strdup_printf("/pad/%d/", i);
 		json_t *padded = route(name, "pad.example", prefix, "idempotent");
@@ -708,7 +717,7 @@
 	json_object_set_new(find, "fanout-services", shards);
 	json_object_set_new(get, "service", json_string("single"));
 	json_object_set_new(act, "service", json_string("single"));
-	put(users, "config", "main",
+	put(platform, "config", "main",
 	    json_pack("{s:i,s:o,s:o,s:{s:i,s:i,s:i,s:i}}", "version", version, "routes", routes,
 		      "services", services, "limits", "max-header-bytes", 4096, "max-body-bytes",
 		      8192, "header-timeout-ms", 1000, "idle-timeout-ms", 5000));
@@ -716,28 +725,28 @@
 
 /* ---- control ---- */
 
-static void set_manner(users_t *users, const char *id, manner_t manner)
+static void set_mode(users_platform_t *platform, const char *id, searcher_mode_t mode)
 {
-	for (guint i = 0; i < users->searchers->len; i++) {
-		searcher_t *searcher = g_ptr_array_index(users->searchers, i);
+	for (guint i = 0; i < platform->searchers->len; i++) {
+		searcher_t *searcher = g_ptr_array_index(platform->searchers, i);
 
 		if (g_str_has_prefix(searcher->id, id))
-			searcher->manner = manner;
+			searcher->mode = mode;
 	}
 }
 
-/* Each entry that is written from now on is of a new start. */
-static void set_born(users_t *users)
+/* Entries written from now on belong to a new incarnation of their searcher. */
+static void advance_born(users_platform_t *platform)
 {
-	for (guint i = 0; i < users->searchers->len; i++)
-		((searcher_t *)g_ptr_array_index(users->searchers, i))->born_ms++;
+	for (guint i = 0; i < platform->searchers->len; i++)
+		((searcher_t *)g_ptr_array_index(platform->searchers, i))->born_ms++;
 }
 
-/* They say that they are cold for so long. */
-static void set_cold(users_t *users, const char *id, uint64_t cold_ms)
+/* The searchers register as cold for @p cold_ms. */
+static void set_cold(users_platform_t *platform, const char *id, uint64_t cold_ms)
 {
-	for (guint i = 0; i < users->searchers->len; i++) {
-		searcher_t *searcher = g_ptr_array_index(users->searchers, i);
+	for (guint i = 0; i < platform->searchers->len; i++) {
+		searcher_t *searcher = g_ptr_array_index(platform->searchers, i);
 
 		if (!g_str_has_prefix(searcher->id, id))
 			continue;
@@ -746,111 +755,114 @@
 	}
 }
 
-static void set_state(users_t *users, const char *id, const char *state)
+static void set_state(users_platform_t *platform, const char *id, const char *state)
 {
-	for (guint i = 0; i < users->searchers->len; i++) {
-		searcher_t *searcher = g_ptr_array_index(users->searchers, i);
+	for (guint i = 0; i < platform->searchers->len; i++) {
+		searcher_t *searcher = g_ptr_array_index(platform->searchers, i);
 
 		if (g_str_has_prefix(searcher->id, id) && state)
 			register_searcher(searcher, state);
 		else if (g_str_has_prefix(searcher->id, id))
-			put(users, "servers", searcher->id, NULL);
+			put(platform, "servers", searcher->id, NULL);
 	}
 }
 
-static json_t *crashes_told(const users_t *users)
+static json_t *crash_records_json(const users_platform_t *platform)
 {
 	json_t *all = json_object();
 	GHashTableIter iter;
 	gpointer path, value;
 
-	g_hash_table_iter_init(&iter, users->crashes);
+	g_hash_table_iter_init(&iter, platform->crashes);
 	while (g_hash_table_iter_next(&iter, &path, &value)) {
-		const crashes_t *crashes = value;
+		const crash_record_t *crashes = value;
 
 		json_object_set_new(all, path,
-				    json_pack("{s:i,s:i,s:i}", "ended", (int)crashes->ended,
-					      "reached", (int)g_hash_table_size(crashes->all),
+				    json_pack("{s:i,s:i,s:i}", "ended", (int)crashes->terminated,
+					      "reached", (int)g_hash_table_size(crashes->reached),
 					      "late", (int)g_hash_table_size(crashes->late)));
 	}
 	return all;
 }
 
-static json_t *counts(const users_t *users)
+static json_t *counters_json(const users_platform_t *platform)
 {
-	json_t *runs = json_object(), *left = json_object();
-	uint64_t pressed = 0;
+	json_t *runs = json_object(), *disconnected = json_object();
+	uint64_t overload_crashes = 0;
 
-	for (guint i = 0; i < users->searchers->len; i++) {
-		searcher_t *searcher = g_ptr_array_index(users->searchers, i);
+	for (guint i = 0; i < platform->searchers->len; i++) {
+		searcher_t *searcher = g_ptr_array_index(platform->searchers, i);
 
-		pressed += searcher->pressed;
+		overload_crashes += searcher->overload_crashes;
 		json_object_set_new(runs, searcher->id, json_integer((json_int_t)searcher->runs));
-		json_object_set_new(left, searcher->id, json_integer((json_int_t)searcher->left));
+		json_object_set_new(disconnected, searcher->id,
+				    json_integer((json_int_t)searcher->disconnected));
 	}
 	return json_pack("{s:b,s:I,s:o,s:o,s:o,s:o,s:I}", "open",
-			 users->doors[0].state == DOOR_OPEN, "pressed", (json_int_t)pressed, "runs",
-			 runs, "left", left, "posted", posted(users), "crashes",
-			 crashes_told(users), "store_calls", (json_int_t)users->calls);
+			 platform->endpoints[0].state == ENDPOINT_OPEN, "pressed",
+			 (json_int_t)overload_crashes, "runs", runs, "left", disconnected, "posted",
+			 post_runs_json(platform), "crashes", crash_records_json(platform),
+			 "store_calls", (json_int_t)platform->calls);
 }
 
-static door_state_t door_state_of(const char *name)
+static endpoint_state_t endpoint_state_by_name(const char *name)
 {
 	static const char *const names[] = {"open", "busy", "silent", "reset"};
 
 	for (size_t i = 0; name && i < G_N_ELEMENTS(names); i++)
 		if (g_str_equal(name, names[i]))
-			return (door_state_t)i;
-	return DOOR_OPEN;
+			return (endpoint_state_t)i;
+	return ENDPOINT_OPEN;
 }
 
 static void on_control(void *ctx, http_exchange_t *exchange)
 {
-	static const char *const manners[] = {"ok", "hang", "shed", "fail", "foreign", "cut"};
-	users_t *users = ctx;
+	static const char *const modes[] = {"ok", "hang", "shed", "fail", "foreign", "cut"};
+	users_platform_t *platform = ctx;
 	const char *action = http_exchange_param(exchange, "action");
 	const char *id = http_exchange_param(exchange, "id");
 	const char *number = http_exchange_param(exchange, "n");
 
-	for (size_t i = 0; action && id && i < G_N_ELEMENTS(manners); i++)
-		if (g_str_equal(action, manners[i]))
-			set_manner(users, id, (manner_t)i);
+	for (size_t i = 0; action && id && i < G_N_ELEMENTS(modes); i++)
+		if (g_str_equal(action, modes[i]))
+			set_mode(platform, id, (searcher_mode_t)i);
 	if (!g_strcmp0(action, "drain"))
-		set_state(users, id, "draining");
+		set_state(platform, id, "draining");
 	else if (!g_strcmp0(action, "remove"))
-		set_state(users, id, NULL);
+		set_state(platform, id, NULL);
 	else if (!g_strcmp0(action, "ready"))
-		set_state(users, id, "ready");
+		set_state(platform, id, "ready");
 	else if (!g_strcmp0(action, "spoil"))
-		set_state(users, id, "no such state");
+		set_state(platform, id, "no such state");
 	else if (!g_strcmp0(action, "born"))
-		set_born(users);
+		advance_born(platform);
 	else if (!g_strcmp0(action, "down"))
-		set_door(&users->doors[0], atoi(number) ? DOOR_BUSY : DOOR_OPEN, 0);
+		set_endpoint(&platform->endpoints[0], atoi(number) ? ENDPOINT_BUSY : ENDPOINT_OPEN,
+			     0);
 	else if (!g_strcmp0(action, "silent"))
-		set_door(&users->doors[0], DOOR_SILENT, strtoull(number, NULL, 10));
+		set_endpoint(&platform->endpoints[0], ENDPOINT_SILENT, strtoull(number, NULL, 10));
 	else if (!g_strcmp0(action, "side"))
-		set_door(&users->doors[1], door_state_of(id), 0);
+		set_endpoint(&platform->endpoints[1], endpoint_state_by_name(id), 0);
 	else if (!g_strcmp0(action, "pad"))
-		users->pad_routes = atoi(number);
+		platform->padding_routes = atoi(number);
 	else if (!g_strcmp0(action, "forget"))
-		users->forgotten = users->revision + 1;
+		platform->compacted_revision = platform->revision + 1;
 	else if (!g_strcmp0(action, "evacuate"))
-		put(users, "evacuations", id, json_object());
+		put(platform, "evacuations", id, json_object());
 	else if (!g_strcmp0(action, "reopen"))
-		put(users, "evacuations", id, NULL);
+		put(platform, "evacuations", id, NULL);
 	else if (!g_strcmp0(action, "cold"))
-		set_cold(users, id, strtoull(number, NULL, 10));
+		set_cold(platform, id, strtoull(number, NULL, 10));
 	else if (!g_strcmp0(action, "copy"))
-		make_copy(users);
+		make_copy(platform);
 	else if (!g_strcmp0(action, "restore"))
-		come_back_from_copy(users);
+		restore_copy(platform);
 	else if (!g_strcmp0(action, "configure"))
-		configure(users, atoi(number));
-	reply_json(exchange, 200, counts(users));
+		configure(platform, atoi(number));
+	reply_json(exchange, 200, counters_json(platform));
 }
 
-/* ---- start ---- */
+/* ---- start-up ---- */
 
 static const struct argp_option options[] = {
 	{"store", 's', "PORT", 0, "the store's port", 0},
@@ -867,12 +879,16 @@
 
 static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
-	users_t *users = state->input;
-	int *const fields[] = {['s'] = &users->store_port,     ['c'] = &users->control_port,
-			       ['f'] = &users->searchers_from, ['n'] = &users->shards,
-			       ['w'] = &users->work_ms,	       ['a'] = &users->advertise,
-			       ['b'] = &users->back_ms,	       ['k'] = &users->cold_per_s,
-			       ['d'] = &users->side_port};
+	users_platform_t *platform = state->input;
+	int *const fields[] = {['s'] = &platform->store_port,
+			       ['c'] = &platform->control_port,
+			       ['f'] = &platform->first_searcher_port,
+			       ['n'] = &platform->shards,
+			       ['w'] = &platform->work_ms,
+			       ['a'] = &platform->advertise_offset,
+			       ['b'] = &platform->restart_delay_ms,
+			       ['k'] = &platform->cold_per_s,
+			       ['d'] = &platform->second_store_port};
 
 	if (key <= 0 || (size_t)key >= G_N_ELEMENTS(fields) || !fields[key])
 		return ARGP_ERR_UNKNOWN;
@@ -880,16 +896,16 @@
 	return 0;
 }
 
-static bool start_searchers(users_t *users)
+static bool start_searchers(users_platform_t *platform)
 {
 	for (int centre = 0; centre < DATA_CENTRES; centre++) {
-		for (int i = 0; i < users->shards; i++) {
+		for (int i = 0; i < platform->shards; i++) {
 			g_autofree char *service = g_strdup_printf("shard-%d", i);
 
-			if (!start_searcher(users, service, i, centre))
+			if (!start_searcher(platform, service, i, centre))
 				return false;
 		}
-		if (!start_searcher(users, "single", SHARDS_MOST, centre))
+		if (!start_searcher(platform, "single", SHARDS_MAX, centre))
 			return false;
 	}
 	return true;
@@ -898,46 +914,49 @@
 static void on_signal(void *ctx, int number)
 {
 	(void)number;
-	loop_stop(((users_t *)ctx)->loop);
+	loop_stop(((users_platform_t *)ctx)->loop);
 }
 
 int main(int argc, char **argv)
 {
 	static const struct argp argp = {
 		options, parse_option, NULL, "A stand-in for the users' platform.", 0, 0, 0};
-	static const http_server_ops_t store = {.request = on_store, .disconnected = on_store_gone};
+	static const http_server_ops_t store = {.request = on_store,
+						.disconnected = on_store_disconnected};
 	static const http_server_ops_t control = {.request = on_control};
-	users_t users = {.shards = 3,
-			 .work_ms = 5,
-			 .back_ms = 1000,
-			 .born_ms = (uint64_t)g_get_real_time() / 1000};
-
-	argp_parse(&argp, argc, argv, 0, NULL, &users);
-	users.loop = loop_new();
-	for (int i = 0; i < DOORS; i++)
-		users.doors[i] = (door_t){.users = &users,
-					  .opens = {.fire = open_door, .ctx = &users.doors[i]}};
-	users.objects =
+	users_platform_t platform = {.shards = 3,
+				     .work_ms = 5,
+				     .restart_delay_ms = 1000,
+				     .born_ms = (uint64_t)g_get_real_time() / 1000};
+
+	argp_parse(&argp, argc, argv, 0, NULL, &platform);
+	platform.loop = loop_new();
+	for (int i = 0; i < STORE_ENDPOINTS; i++)
+		platform.endpoints[i] = (store_endpoint_t){
+			.platform = &platform,
+			.reopen_timer = {.fire = reopen_endpoint, .ctx = &platform.endpoints[i]}};
+	platform.objects =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)json_decref);
-	users.history = g_ptr_array_new_with_free_func((GDestroyNotify)json_decref);
-	users.watches = g_ptr_array_new();
-	users.posted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	users.crashes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	users.searchers = g_ptr_array_new();
-	if (users.shards > SHARDS_MOST ||
-	    !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.store_port,
-			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES), &store,
-			     &users.doors[0]) ||
-	    (users.side_port && !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.side_port,
-						 &HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES),
-						 &store, &users.doors[1])) ||
-	    !http_server_new(users.loop, "127.0.0.1", (uint16_t)users.control_port,
-			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_MOST_BYTES), &control, &users) ||
-	    !start_searchers(&users)) {
+	platform.history = g_ptr_array_new_with_free_func((GDestroyNotify)json_decref);
+	platform.watches = g_ptr_array_new();
+	platform.post_runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	platform.crashes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	platform.searchers = g_ptr_array_new();
+	if (platform.shards > SHARDS_MAX ||
+	    !http_server_new(platform.loop, "127.0.0.1", (uint16_t)platform.store_port,
+			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_MAX_BYTES), &store,
+			     &platform.endpoints[0]) ||
+	    (platform.second_store_port &&
+	     !http_server_new(platform.loop, "127.0.0.1", (uint16_t)platform.second_store_port,
+			      &HTTP_SERVER_INTERNAL_LIMITS(BODY_MAX_BYTES), &store,
+			      &platform.endpoints[1])) ||
+	    !http_server_new(platform.loop, "127.0.0.1", (uint16_t)platform.control_port,
+			     &HTTP_SERVER_INTERNAL_LIMITS(BODY_MAX_BYTES), &control, &platform) ||
+	    !start_searchers(&platform)) {
 		g_printerr("users-platform: cannot listen\n");
 		return 1;
 	}
-	configure(&users, 1);
-	loop_run(users.loop, on_signal, &users);
+	configure(&platform, 1);
+	loop_run(platform.loop, on_signal, &platform);
 	return 0;
 }
