--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -1,8 +1,8 @@
 /**
  * @file fuzz.c
- * Bytes from outside, into each parser: searchers' replies and health pages, callers' searches and
- * keys, operators' configurations, peers' frames; on the users' platform pages of its store and
- * what VMs feed each other. FUZZ_TARGET picks one.
+ * Fuzzes each parser of data from outside the process: searchers' replies and health pages,
+ * callers' searches and idempotency keys, operators' configurations, peers' frames, pages of the
+ * users' store, and feed and hand-over messages between VMs. FUZZ_TARGET selects the parser.
  */
 #include "commands/action.h"
 #include "commands/propose.h"
@@ -77,7 +77,7 @@
 		propose_free(propose);
 }
 
-/* As a peer with the key would send it: the code under test lies behind the authentication. */
+/* The frame is signed as by a peer with the key, since the decoder is behind the authentication. */
 static void fuzz_frame(const uint8_t *data, size_t bytes)
 {
 	GHmac *hmac = g_hmac_new(G_CHECKSUM_SHA256, (const guchar *)KEY, strlen(KEY));
