--- a/tests/front_fleet_test.c
+++ b/tests/front_fleet_test.c
@@ -1,9 +1,10 @@
 /**
  * @file front_fleet_test.c
- * Several VMs, the same searchers and one store: requests that crash searchers come again and again
- * at any VM, beside others. By seed, VMs are cut off from the store, which takes its time; a
- * searcher that a request has crashed is gone for all VMs, and back for all. front_world.h checks
- * that such a request stops reaching searchers, and that no other is refused for it.
+ * Random schedules of several VMs with the same searchers and one store, by seed: callers repeat a
+ * poison request at any VM, beside other requests. Messages to and from the store are delayed, and
+ * VMs are cut off from the store for a while. A searcher that crashes does so for all VMs, and
+ * restarts for all of them. front_world.c checks that the poison request stops reaching searchers
+ * and that no other request is blocked because of it.
  *
  *     front_fleet_test SEEDS [FIRST]
  */
@@ -12,83 +13,84 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define VMS_MOST 4
+#define VMS_MAX 4
 #define STEP_US 1000
-#define PLAYED_US 24000000
+#define RUN_US 24000000
 #define SETTLE_US 8000000
-/* From one request to the next, at all VMs together. */
-#define REQUEST_MOST_US 60000
-/* From one attempt at a request that crashes searchers to the next; its caller's retry comes at
- * once. */
-#define CRASHER_MOST_US 3000000
-#define RETRY_MOST_US 30000
+/* Longest time between requests, over all VMs together. */
+#define REQUEST_INTERVAL_MAX_US 60000
+/* Longest time between attempts at the poison request, without retries; the caller's retry comes
+ * almost at once. */
+#define POISON_INTERVAL_MAX_US 3000000
+#define RETRY_DELAY_MAX_US 30000
 #define RETRIES_EACH 2
 #define POPULAR 4
-#define BACK_LEAST_US 1500000
-#define BACK_MOST_US 4000000
-/* A write, and from there to a watcher: changes are grouped for 0.8 s. */
-#define WRITE_MOST_US 30000
-#define HEAR_MOST_US 850000
-#define CUT_MOST_US 6000000
-/* After it a VM that was cut off counts again. */
-#define IN_TOUCH_US 5000000
-
-typedef enum letter_type_t {
-	LETTER_NEWS,
-	LETTER_CLAIM, /* to the store: create it; to a VM: whether it was created */
-	LETTER_DROP,
-} letter_type_t;
-
-/** Something on its way between a VM and the store. */
-typedef struct letter_t {
-	letter_type_t type;
+#define RESTART_MIN_US 1500000
+#define RESTART_MAX_US 4000000
+/* Longest delay of a write to the store, and from there to a watching VM, where the store groups
+ * changes for 0.8 s. */
+#define WRITE_DELAY_MAX_US 30000
+#define WATCH_DELAY_MAX_US 850000
+#define CUT_OFF_MAX_US 6000000
+/* A VM that was cut off from the store is checked again this long after it reconnects. */
+#define RECONNECT_GRACE_US 5000000
+
+typedef enum message_type_t {
+	MESSAGE_UPDATE,
+	MESSAGE_CLAIM, /* to the store: create the claim; to a VM: whether it was created */
+	MESSAGE_DROP_CLAIMS,
+} message_type_t;
+
+/** A message in transit between a VM and the store. */
+typedef struct message_t {
+	message_type_t type;
 	uint64_t due_us;
 	int to; /* a VM; -1: the store */
 	int from;
-	poison_update_t news; /* without strikes: it is no more */
+	poison_update_t update; /* without strikes: the record is removed */
 	char *service;
-	uint32_t number; /* of a claim */
+	uint32_t number; /* number of the claimed trial */
 	bool granted;
-} letter_t;
+} message_t;
 
 typedef struct fleet_t {
-	front_world_t *vms[VMS_MOST];
-	uint64_t cut_us[VMS_MOST]; /* off from the store until then */
+	front_world_t *vms[VMS_MAX];
+	uint64_t cut_off_until_us[VMS_MAX]; /* cut off from the store until then */
 	int count;
-	GPtrArray *letters; /* letter_t */
-	GHashTable *claims; /* "FINGERPRINT NUMBER" of those that the store holds */
-	GHashTable *crashers;
+	GPtrArray *messages; /* message_t */
+	GHashTable *claims;  /* "FINGERPRINT NUMBER" of claims in the store */
+	GHashTable *poison_requests;
 	GRand *rand;
 	uint64_t now_us;
 } fleet_t;
 
-static uint64_t up_to(fleet_t *fleet, uint64_t most_us)
+static uint64_t random_up_to(fleet_t *fleet, uint64_t max_us)
 {
-	return (uint64_t)g_rand_int_range(fleet->rand, 0, (gint32)most_us);
+	return (uint64_t)g_rand_int_range(fleet->rand, 0, (gint32)max_us);
 }
 
-static int any_vm(fleet_t *fleet)
+static int random_vm(fleet_t *fleet)
 {
 	return g_rand_int_range(fleet->rand, 0, fleet->count);
 }
 
 /* ---- the store ---- */
 
-static void letter_free(void *data)
+static void message_free(void *data)
 {
-	letter_t *letter = data;
+	message_t *message = data;
 
-	g_free(letter->service);
-	g_free(letter);
+	g_free(message->service);
+	g_free(message);
 }
 
-static void post(fleet_t *fleet, const letter_t *from)
+static void send_message(fleet_t *fleet, const message_t *from)
 {
-	letter_t *letter = g_memdup2(from, sizeof(*from));
+	message_t *message = g_memdup2(from, sizeof(*from));
 
-	letter->service = g_strdup(from->news.service);
-	letter->news.service = letter->service;
-	g_ptr_array_add(fleet->letters, letter);
+	message->service = g_strdup(from->update.service);
+	message->update.service = message->service;
+	g_ptr_array_add(fleet->messages, message);
 }
 
 static int index_of(const fleet_t *fleet, const front_world_t *world)
@@ -100,44 +102,44 @@
 	return index;
 }
 
-/* A VM that is cut off is not answered, and writes once it is back. */
-static void on_stores(void *ctx, front_world_t *world, const poison_update_t *news)
+/* A VM that is cut off sends its write once it has reconnected. */
+static void on_publish(void *ctx, front_world_t *world, const poison_update_t *update)
 {
 	fleet_t *fleet = ctx;
 	int from = index_of(fleet, world);
-	uint64_t sent_us = MAX(fleet->now_us, fleet->cut_us[from]);
-	const letter_t letter = {.due_us = sent_us + up_to(fleet, WRITE_MOST_US),
-				 .to = -1,
-				 .from = from,
-				 .news = *news};
+	uint64_t sent_us = MAX(fleet->now_us, fleet->cut_off_until_us[from]);
+	const message_t message = {.due_us = sent_us + random_up_to(fleet, WRITE_DELAY_MAX_US),
+				   .to = -1,
+				   .from = from,
+				   .update = *update};
 
-	post(fleet, &letter);
+	send_message(fleet, &message);
 }
 
-static void post_claim(fleet_t *fleet, letter_type_t type, const front_world_t *world,
-		       fingerprint_t fingerprint, uint32_t number)
+static void send_claim_message(fleet_t *fleet, message_type_t type, const front_world_t *world,
+			       fingerprint_t fingerprint, uint32_t number)
 {
 	int from = index_of(fleet, world);
-	uint64_t sent_us = MAX(fleet->now_us, fleet->cut_us[from]);
-	const letter_t letter = {.type = type,
-				 .due_us = sent_us + up_to(fleet, WRITE_MOST_US),
-				 .to = -1,
-				 .from = from,
-				 .news.fingerprint = fingerprint,
-				 .number = number};
-
-	post(fleet, &letter);
+	uint64_t sent_us = MAX(fleet->now_us, fleet->cut_off_until_us[from]);
+	const message_t message = {.type = type,
+				   .due_us = sent_us + random_up_to(fleet, WRITE_DELAY_MAX_US),
+				   .to = -1,
+				   .from = from,
+				   .update.fingerprint = fingerprint,
+				   .number = number};
+
+	send_message(fleet, &message);
 }
 
-static void on_claims(void *ctx, front_world_t *world, fingerprint_t fingerprint, uint32_t number)
+static void on_claim(void *ctx, front_world_t *world, fingerprint_t fingerprint, uint32_t number)
 {
-	post_claim(ctx, LETTER_CLAIM, world, fingerprint, number);
+	send_claim_message(ctx, MESSAGE_CLAIM, world, fingerprint, number);
 }
 
-static void on_drops_claims(void *ctx, front_world_t *world, fingerprint_t fingerprint,
-			    uint32_t number)
+static void on_drop_claims(void *ctx, front_world_t *world, fingerprint_t fingerprint,
+			   uint32_t number)
 {
-	post_claim(ctx, LETTER_DROP, world, fingerprint, number);
+	send_claim_message(ctx, MESSAGE_DROP_CLAIMS, world, fingerprint, number);
 }
 
 static char *claim_key(fingerprint_t fingerprint, uint32_t number)
@@ -145,105 +147,107 @@
 	return g_strdup_printf("%" G_GINT64_MODIFIER "x %u", fingerprint, number);
 }
 
-/* Creates an object for each claim: of several VMs one gets it. */
-static void store_takes_claim(fleet_t *fleet, const letter_t *letter)
+/* Creates an object for each claim, so that only one of several VMs is granted it. */
+static void store_create_claim(fleet_t *fleet, const message_t *message)
 {
-	uint64_t from_us = MAX(fleet->now_us, fleet->cut_us[letter->from]);
-	letter_t reply = *letter;
+	uint64_t from_us = MAX(fleet->now_us, fleet->cut_off_until_us[message->from]);
+	message_t reply = *message;
 
-	reply.due_us = from_us + up_to(fleet, WRITE_MOST_US);
-	reply.to = letter->from;
+	reply.due_us = from_us + random_up_to(fleet, WRITE_DELAY_MAX_US);
+	reply.to = message->from;
 	reply.granted = g_hash_table_add(fleet->claims,
-					 claim_key(letter->news.fingerprint, letter->number));
-	post(fleet, &reply);
+					 claim_key(message->update.fingerprint, message->number));
+	send_message(fleet, &reply);
 }
 
-static void store_drops_claims(const fleet_t *fleet, const letter_t *letter)
+static void store_drop_claims(const fleet_t *fleet, const message_t *message)
 {
-	for (uint32_t number = 1; number <= letter->number; number++) {
-		g_autofree char *key = claim_key(letter->news.fingerprint, number);
+	for (uint32_t number = 1; number <= message->number; number++) {
+		g_autofree char *key = claim_key(message->update.fingerprint, number);
 
 		g_hash_table_remove(fleet->claims, key);
 	}
 }
 
-static void store_takes(fleet_t *fleet, const letter_t *letter)
+static void store_apply_update(fleet_t *fleet, const message_t *message)
 {
 	for (int i = 0; i < fleet->count; i++) {
-		uint64_t from_us = MAX(fleet->now_us, fleet->cut_us[i]);
-		const letter_t told = {.due_us = from_us + up_to(fleet, HEAR_MOST_US),
-				       .to = i,
-				       .from = -1,
-				       .news = letter->news};
-
-		post(fleet, &told);
+		uint64_t from_us = MAX(fleet->now_us, fleet->cut_off_until_us[i]);
+		const message_t notice = {.due_us =
+						  from_us + random_up_to(fleet, WATCH_DELAY_MAX_US),
+					  .to = i,
+					  .from = -1,
+					  .update = message->update};
+
+		send_message(fleet, &notice);
 	}
-	if (letter->news.strikes)
-		poison_publish_done(forwarder_poison(fleet->vms[letter->from]->forwarder),
-				    &letter->news, true, fleet->now_us);
+	if (message->update.strikes)
+		poison_publish_done(forwarder_poison(fleet->vms[message->from]->forwarder),
+				    &message->update, true, fleet->now_us);
 }
 
-static void vm_hears(fleet_t *fleet, const letter_t *letter)
+static void vm_receive(fleet_t *fleet, const message_t *message)
 {
-	poison_t *poison = forwarder_poison(fleet->vms[letter->to]->forwarder);
+	poison_t *poison = forwarder_poison(fleet->vms[message->to]->forwarder);
 
-	if (letter->type == LETTER_CLAIM)
-		poison_claim_done(poison, letter->news.fingerprint, letter->number,
-				  letter->granted ? CLAIM_GRANTED : CLAIM_TAKEN, fleet->now_us);
-	else if (letter->news.strikes)
-		poison_apply_update(poison, &letter->news, fleet->now_us);
+	if (message->type == MESSAGE_CLAIM)
+		poison_claim_done(poison, message->update.fingerprint, message->number,
+				  message->granted ? CLAIM_GRANTED : CLAIM_TAKEN, fleet->now_us);
+	else if (message->update.strikes)
+		poison_apply_update(poison, &message->update, fleet->now_us);
 	else
-		poison_apply_removal(poison, letter->news.fingerprint);
+		poison_apply_removal(poison, message->update.fingerprint);
 }
 
 static void deliver(fleet_t *fleet)
 {
-	for (guint i = 0; i < fleet->letters->len;) {
-		letter_t *letter = g_ptr_array_index(fleet->letters, i);
+	for (guint i = 0; i < fleet->messages->len;) {
+		message_t *message = g_ptr_array_index(fleet->messages, i);
 
-		if (letter->due_us > fleet->now_us) {
+		if (message->due_us > fleet->now_us) {
 			i++;
 			continue;
 		}
-		g_ptr_array_steal_index(fleet->letters, i);
-		if (letter->to >= 0)
-			vm_hears(fleet, letter);
-		else if (letter->type == LETTER_CLAIM)
-			store_takes_claim(fleet, letter);
-		else if (letter->type == LETTER_DROP)
-			store_drops_claims(fleet, letter);
+		g_ptr_array_steal_index(fleet->messages, i);
+		if (message->to >= 0)
+			vm_receive(fleet, message);
+		else if (message->type == MESSAGE_CLAIM)
+			store_create_claim(fleet, message);
+		else if (message->type == MESSAGE_DROP_CLAIMS)
+			store_drop_claims(fleet, message);
 		else
-			store_takes(fleet, letter);
-		letter_free(letter);
+			store_apply_update(fleet, message);
+		message_free(message);
 	}
 }
 
-static void any_cut(fleet_t *fleet)
+static void cut_off_random_vm(fleet_t *fleet)
 {
-	int vm = any_vm(fleet);
+	int vm = random_vm(fleet);
 
-	fleet->cut_us[vm] = fleet->now_us + up_to(fleet, CUT_MOST_US);
-	fleet->vms[vm]->in_touch_us = fleet->cut_us[vm] + IN_TOUCH_US;
+	fleet->cut_off_until_us[vm] = fleet->now_us + random_up_to(fleet, CUT_OFF_MAX_US);
+	fleet->vms[vm]->poison_checked_from_us = fleet->cut_off_until_us[vm] + RECONNECT_GRACE_US;
 }
 
 /* ---- searchers ---- */
 
-static void on_crashed(void *ctx, const fake_t *fake)
+static void on_crashed(void *ctx, const fake_searcher_t *fake)
 {
 	fleet_t *fleet = ctx;
 	g_autofree char *id = g_strdup(fake->id);
-	uint64_t back_us = BACK_LEAST_US + up_to(fleet, BACK_MOST_US - BACK_LEAST_US);
+	uint64_t restart_us = RESTART_MIN_US + random_up_to(fleet, RESTART_MAX_US - RESTART_MIN_US);
 
 	for (int i = 0; i < fleet->count; i++)
-		front_world_crash(fleet->vms[i], front_world_fake(fleet->vms[i], id), back_us);
+		front_world_crash(fleet->vms[i], front_world_searcher(fleet->vms[i], id),
+				  restart_us);
 }
 
 /* ---- callers ---- */
 
-static void any_request(fleet_t *fleet)
+static void submit_request(fleet_t *fleet)
 {
 	static const char *const routes[] = {"find", "get", "act"};
-	front_world_t *world = fleet->vms[any_vm(fleet)];
+	front_world_t *world = fleet->vms[random_vm(fleet)];
 	gint which = g_rand_int_range(fleet->rand, 0, 3);
 	g_autofree char *path =
 		g_strdup_printf("popular-%d", g_rand_int_range(fleet->rand, 0, POPULAR));
@@ -254,35 +258,35 @@
 		front_world_request(world, routes[which], 800000);
 }
 
-static void pass_to(fleet_t *fleet, uint64_t until_us)
+static void advance_to(fleet_t *fleet, uint64_t until_us)
 {
 	while (fleet->now_us < until_us) {
 		fleet->now_us += STEP_US;
 		deliver(fleet);
 		for (int i = 0; i < fleet->count; i++)
-			front_world_pass(fleet->vms[i], STEP_US);
+			front_world_advance(fleet->vms[i], STEP_US);
 	}
 }
 
-static void play(fleet_t *fleet, const char *route, const char *path)
+static void run_schedule(fleet_t *fleet, const char *route, const char *path)
 {
-	uint64_t end_us = fleet->now_us + PLAYED_US;
-	uint64_t crasher_us = fleet->now_us + up_to(fleet, CRASHER_MOST_US);
+	uint64_t end_us = fleet->now_us + RUN_US;
+	uint64_t poison_us = fleet->now_us + random_up_to(fleet, POISON_INTERVAL_MAX_US);
 	uint32_t retries = 0;
 
 	while (fleet->now_us < end_us) {
-		pass_to(fleet, fleet->now_us + 1 + up_to(fleet, REQUEST_MOST_US));
-		any_request(fleet);
+		advance_to(fleet, fleet->now_us + 1 + random_up_to(fleet, REQUEST_INTERVAL_MAX_US));
+		submit_request(fleet);
 		if (g_rand_int_range(fleet->rand, 0, 200) == 0)
-			any_cut(fleet);
-		if (fleet->now_us < crasher_us)
+			cut_off_random_vm(fleet);
+		if (fleet->now_us < poison_us)
 			continue;
-		front_world_attempt(fleet->vms[any_vm(fleet)], route, path, 800000);
+		front_world_attempt(fleet->vms[random_vm(fleet)], route, path, 800000);
 		retries = (retries + 1) % RETRIES_EACH;
-		crasher_us =
-			fleet->now_us + up_to(fleet, retries ? RETRY_MOST_US : CRASHER_MOST_US);
+		poison_us = fleet->now_us + random_up_to(fleet, retries ? RETRY_DELAY_MAX_US
+									: POISON_INTERVAL_MAX_US);
 	}
-	pass_to(fleet, fleet->now_us + SETTLE_US);
+	advance_to(fleet, fleet->now_us + SETTLE_US);
 }
 
 /* ---- a seed ---- */
@@ -292,21 +296,21 @@
 	fleet_t *fleet = g_new0(fleet_t, 1);
 
 	fleet->rand = g_rand_new_with_seed(seed);
-	fleet->count = g_rand_int_range(fleet->rand, 1, VMS_MOST + 1);
-	fleet->letters = g_ptr_array_new();
+	fleet->count = g_rand_int_range(fleet->rand, 1, VMS_MAX + 1);
+	fleet->messages = g_ptr_array_new();
 	fleet->claims = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	for (int i = 0; i < fleet->count; i++) {
-		front_world_t *world = front_world_new(seed * VMS_MOST + (uint32_t)i);
+		front_world_t *world = front_world_new(seed * VMS_MAX + (uint32_t)i);
 
 		world->ctx = fleet;
 		world->crashed = on_crashed;
-		world->stores = on_stores;
-		world->claims = on_claims;
-		world->drops_claims = on_drops_claims;
-		if (!fleet->crashers)
-			fleet->crashers = g_hash_table_ref(world->crashers);
-		g_hash_table_unref(world->crashers);
-		world->crashers = g_hash_table_ref(fleet->crashers);
+		world->publish = on_publish;
+		world->claim = on_claim;
+		world->drop_claims = on_drop_claims;
+		if (!fleet->poison_requests)
+			fleet->poison_requests = g_hash_table_ref(world->poison_requests);
+		g_hash_table_unref(world->poison_requests);
+		world->poison_requests = g_hash_table_ref(fleet->poison_requests);
 		fleet->vms[i] = world;
 		fleet->now_us = world->now_us;
 	}
@@ -317,10 +321,10 @@
 {
 	for (int i = 0; i < fleet->count; i++)
 		front_world_free(fleet->vms[i]);
-	for (guint i = 0; i < fleet->letters->len; i++)
-		letter_free(g_ptr_array_index(fleet->letters, i));
-	g_ptr_array_unref(fleet->letters);
-	g_hash_table_unref(fleet->crashers);
+	for (guint i = 0; i < fleet->messages->len; i++)
+		message_free(g_ptr_array_index(fleet->messages, i));
+	g_ptr_array_unref(fleet->messages);
+	g_hash_table_unref(fleet->poison_requests);
 	g_hash_table_unref(fleet->claims);
 	g_rand_free(fleet->rand);
 	g_free(fleet);
@@ -330,20 +334,20 @@
 {
 	static const char *const routes[] = {"find", "get", "act"};
 	fleet_t *fleet = fleet_new(seed);
-	bool sound = true;
+	bool passed = true;
 
-	play(fleet, routes[seed % 3], "crash");
+	run_schedule(fleet, routes[seed % 3], "crash");
 	for (int i = 0; i < fleet->count; i++) {
 		const front_world_t *world = fleet->vms[i];
 
 		front_world_check_end(fleet->vms[i]);
-		if (world->wrong->len)
+		if (world->violations->len)
 			printf("seed %u, VM %d of %d:\n%s", seed, i, fleet->count,
-			       world->wrong->str);
-		sound = sound && !world->wrong->len;
+			       world->violations->str);
+		passed = passed && !world->violations->len;
 	}
 	fleet_free(fleet);
-	return sound;
+	return passed;
 }
 
 int main(int argc, char **argv)
--- a/tests/front_matrix_test.c
+++ b/tests/front_matrix_test.c
@@ -1,8 +1,8 @@
 /**
  * @file front_matrix_test.c
- * The fault matrix of forwarding: every fault at every step of a merged answer, of one that may be
- * repeated and of one that may not, and every pair of faults. Writes docs/FAULTS-FORWARDING.md or
- * compares it. front_world.h checks the promises as answers come.
+ * The fault matrix of forwarding: every fault at every step of a gathered, an idempotent and an
+ * at-most-once request, and every pair of faults. Writes docs/FAULTS-FORWARDING.md or compares it
+ * with the results. front_world.c checks the promises as answers arrive.
  */
 #include "front_world.h"
 #include "matrix_page.h"
@@ -11,115 +11,119 @@
 
 #define SEED 7
 #define WARM_REQUESTS 40
-#define WARM_EACH_US 100000
-#define PATIENCE_US 800000
+#define WARM_INTERVAL_US 100000
+#define CALLER_TIMEOUT_US 800000
 #define HEAL_AFTER_US 1500000
 #define SETTLE_US 8000000
-#define STILL_US 1000000
+#define SUSPEND_US 1000000
 
-typedef struct scene_t scene_t;
+typedef struct scenario_t scenario_t;
 
-/** One fault. */
+/** A fault that a scenario injects. */
 typedef struct fault_t {
 	const char *name;
-	void (*inject)(scene_t *scene);
+	void (*inject)(scenario_t *scenario);
 } fault_t;
 
-/** One step of a request: after so many sendings and replies of it, or so long after it came. */
+/** A step of a request: reached once @p sent sub-requests are sent, @p replied replies received and
+ * @p after_us has passed since the request arrived. */
 typedef struct step_t {
 	const char *name;
 	uint32_t sent, replied;
 	uint64_t after_us;
 } step_t;
 
-struct scene_t {
+struct scenario_t {
 	front_world_t *world;
-	played_t *played;
-	const char *service; /**< the one that faults hit */
+	test_request_t *test_request;
+	const char *service; /**< the service whose searchers the faults affect */
 	const fault_t *faults[2];
 	const step_t *steps[2];
 	bool injected[2];
 	uint32_t sent_before, replied_before;
-	bool armed;
+	bool injecting;
 };
 
-static fake_t *fake_of(const scene_t *scene, const char *where)
+static fake_searcher_t *find_searcher(const scenario_t *scenario, const char *where)
 {
-	g_autofree char *id = g_strdup_printf("%s-%s", scene->service, where);
+	g_autofree char *id = g_strdup_printf("%s-%s", scenario->service, where);
 
-	return front_world_fake(scene->world, id);
+	return front_world_searcher(scenario->world, id);
 }
 
 #define NEAR_FAULT(name, behaviour)                                                                \
-	static void near_##name(scene_t *scene)                                                    \
+	static void near_##name(scenario_t *scenario)                                              \
 	{                                                                                          \
-		front_world_behave(scene->world, fake_of(scene, "near"), behaviour);               \
+		front_world_set_behaviour(scenario->world, find_searcher(scenario, "near"),        \
+					  behaviour);                                              \
 	}                                                                                          \
-	static void both_##name(scene_t *scene)                                                    \
+	static void both_##name(scenario_t *scenario)                                              \
 	{                                                                                          \
-		near_##name(scene);                                                                \
-		front_world_behave(scene->world, fake_of(scene, "far"), behaviour);                \
+		near_##name(scenario);                                                             \
+		front_world_set_behaviour(scenario->world, find_searcher(scenario, "far"),         \
+					  behaviour);                                              \
 	}
 
 NEAR_FAULT(slow, SLOW)
 NEAR_FAULT(hangs, HANGS)
 NEAR_FAULT(fails, FAILS)
 NEAR_FAULT(refuses, REFUSES)
-NEAR_FAULT(cuts, CUTS)
-NEAR_FAULT(lost, LOST)
+NEAR_FAULT(disconnects, DISCONNECTS)
+NEAR_FAULT(terminated, TERMINATED)
 NEAR_FAULT(replaced, REPLACED)
 
-static void near_drains(scene_t *scene)
+static void near_drains(scenario_t *scenario)
 {
-	front_world_drain(scene->world, fake_of(scene, "near"));
+	front_world_drain(scenario->world, find_searcher(scenario, "near"));
 }
 
-static void both_gone(scene_t *scene)
+static void both_removed(scenario_t *scenario)
 {
-	front_world_remove(scene->world, fake_of(scene, "near"));
-	front_world_remove(scene->world, fake_of(scene, "far"));
+	front_world_remove(scenario->world, find_searcher(scenario, "near"));
+	front_world_remove(scenario->world, find_searcher(scenario, "far"));
 }
 
-static void store_lapses(scene_t *scene)
+static void entries_lapse(scenario_t *scenario)
 {
-	registry_store_lost(scene->world->registry);
-	registry_store_recovered(scene->world->registry, scene->world->now_us);
-	both_gone(scene);
+	registry_store_lost(scenario->world->registry);
+	registry_store_recovered(scenario->world->registry, scenario->world->now_us);
+	both_removed(scenario);
 }
 
-static void new_version(scene_t *scene)
+static void new_version(scenario_t *scenario)
 {
-	front_world_configure(scene->world);
+	front_world_configure(scenario->world);
 }
 
-static void caller_leaves(scene_t *scene)
+static void caller_abandons(scenario_t *scenario)
 {
-	if (scene->played)
-		front_world_leave(scene->world, scene->played);
+	if (scenario->test_request)
+		front_world_abandon(scenario->world, scenario->test_request);
 }
 
-static void vm_leaves(scene_t *scene)
+static void vm_stops_accepting(scenario_t *scenario)
 {
-	forwarder_stop_accepting(scene->world->forwarder);
+	forwarder_stop_accepting(scenario->world->forwarder);
 }
 
-static void vm_stands_still(scene_t *scene)
+static void vm_suspended(scenario_t *scenario)
 {
-	front_world_stand_still(scene->world, STILL_US);
+	front_world_suspend(scenario->world, SUSPEND_US);
 }
 
-static void told_hung(scene_t *scene)
+static void reported_hung(scenario_t *scenario)
 {
-	const observation_t sighting = {.type = OBSERVATION_HUNG,
-					.searcher = fake_of(scene, "near")->id,
-					.after_us = 300000};
+	const observation_t observation = {.type = OBSERVATION_HUNG,
+					   .searcher = find_searcher(scenario, "near")->id,
+					   .after_us = 300000};
 
-	forwarder_take_observation(scene->world->forwarder, &sighting, scene->world->now_us);
+	forwarder_take_observation(scenario->world->forwarder, &observation,
+				   scenario->world->now_us);
 }
 
-static void budget_gone(scene_t *scene)
+static void budget_exhausted(scenario_t *scenario)
 {
-	registry_set_bound(scene->world->registry, 0, 0);
+	registry_set_bound(scenario->world->registry, 0, 0);
 }
 
 static const fault_t faults[] = {
@@ -127,25 +131,25 @@
 	{"near one hangs", near_hangs},
 	{"near one fails", near_fails},
 	{"near one refuses", near_refuses},
-	{"near one cuts", near_cuts},
-	{"near one is lost", near_lost},
+	{"near one cuts", near_disconnects},
+	{"near one is lost", near_terminated},
 	{"near one's address is another's", near_replaced},
 	{"near one drains", near_drains},
 	{"both are slow", both_slow},
 	{"both hang", both_hangs},
 	{"both fail", both_fails},
 	{"both refuse", both_refuses},
-	{"both cut", both_cuts},
-	{"both are lost", both_lost},
+	{"both cut", both_disconnects},
+	{"both are lost", both_terminated},
 	{"both addresses are others'", both_replaced},
-	{"both are gone from the store", both_gone},
-	{"both lapse while the store is away", store_lapses},
+	{"both are gone from the store", both_removed},
+	{"both lapse while the store is away", entries_lapse},
 	{"a new version", new_version},
-	{"the caller leaves", caller_leaves},
-	{"the VM leaves", vm_leaves},
-	{"the VM stands still", vm_stands_still},
-	{"another VM tells that the near one hangs", told_hung},
-	{"the budget is used up", budget_gone},
+	{"the caller leaves", caller_abandons},
+	{"the VM leaves", vm_stops_accepting},
+	{"the VM stands still", vm_suspended},
+	{"another VM tells that the near one hangs", reported_hung},
+	{"the budget is used up", budget_exhausted},
 };
 
 static const step_t steps[] = {
@@ -155,10 +159,11 @@
 	{"late", 1, 0, 60000},
 	{"near the target", 1, 0, 110000},
 };
-/* From this step on the near searcher is slow from the start, or the request would be over. */
+/* For this and later steps the near searcher is slow from the start, as the request would be
+ * answered before them otherwise. */
 #define STEP_LATE 3
 
-/** What is under way. */
+/** The kind of request that a fault affects. */
 typedef struct kind_t {
 	const char *title;
 	const char *route;
@@ -171,99 +176,101 @@
 	{"an answer of one searcher, at most once", "act", "s"},
 };
 
-static bool is_due(const scene_t *scene, const step_t *step)
+static bool is_due(const scenario_t *scenario, const step_t *step)
 {
-	const front_world_t *world = scene->world;
+	const front_world_t *world = scenario->world;
 
-	return scene->played && world->sent - scene->sent_before >= step->sent &&
-	       world->replied - scene->replied_before >= step->replied &&
-	       world->now_us >= scene->played->sent_us + step->after_us;
+	return scenario->test_request && world->sent - scenario->sent_before >= step->sent &&
+	       world->replied - scenario->replied_before >= step->replied &&
+	       world->now_us >= scenario->test_request->sent_us + step->after_us;
 }
 
 static void on_stepped(void *ctx)
 {
-	scene_t *scene = ctx;
+	scenario_t *scenario = ctx;
 
-	for (int i = 0; scene->armed && i < 2; i++) {
-		if (!scene->faults[i] || scene->injected[i] || !is_due(scene, scene->steps[i]))
+	for (int i = 0; scenario->injecting && i < 2; i++) {
+		if (!scenario->faults[i] || scenario->injected[i] ||
+		    !is_due(scenario, scenario->steps[i]))
 			continue;
-		scene->injected[i] = true;
-		scene->faults[i]->inject(scene);
+		scenario->injected[i] = true;
+		scenario->faults[i]->inject(scenario);
 	}
 }
 
-static void warm(front_world_t *world, const kind_t *kind)
+static void warm_up(front_world_t *world, const kind_t *kind)
 {
 	for (int i = 0; i < WARM_REQUESTS; i++) {
-		front_world_request(world, kind->route, PATIENCE_US);
-		front_world_pass(world, WARM_EACH_US);
+		front_world_request(world, kind->route, CALLER_TIMEOUT_US);
+		front_world_advance(world, WARM_INTERVAL_US);
 	}
 }
 
-static void heal(scene_t *scene)
+static void heal_searchers(scenario_t *scenario)
 {
-	front_world_t *world = scene->world;
+	front_world_t *world = scenario->world;
 
 	for (guint i = 0; i < world->fakes->len; i++) {
-		fake_t *fake = g_ptr_array_index(world->fakes, i);
+		fake_searcher_t *fake = g_ptr_array_index(world->fakes, i);
 
-		front_world_behave(world, fake, SERVES);
+		front_world_set_behaviour(world, fake, SERVES);
 	}
 }
 
-static void inject_before(scene_t *scene)
+static void inject_before(scenario_t *scenario)
 {
 	for (int i = 0; i < 2; i++) {
-		if (!scene->faults[i] || scene->steps[i] != &steps[0])
+		if (!scenario->faults[i] || scenario->steps[i] != &steps[0])
 			continue;
-		scene->injected[i] = true;
-		scene->faults[i]->inject(scene);
+		scenario->injected[i] = true;
+		scenario->faults[i]->inject(scenario);
 	}
 }
 
-/* Returns the outcome; the promises that were broken are printed and counted. */
-static char *play(const kind_t *kind, const fault_t *const pair[2], const step_t *const at[2],
-		  uint32_t *broken)
+/* Returns the outcome; prints the violations and counts the run as failed if there are any. */
+static char *run_scenario(const kind_t *kind, const fault_t *const pair[2],
+			  const step_t *const at[2], uint32_t *failed_runs)
 {
 	front_world_t *world = front_world_new(SEED);
-	scene_t scene = {.world = world,
-			 .service = kind->service,
-			 .faults = {pair[0], pair[1]},
-			 .steps = {at[0], at[1]}};
+	scenario_t scenario = {.world = world,
+			       .service = kind->service,
+			       .faults = {pair[0], pair[1]},
+			       .steps = {at[0], at[1]}};
 	char *outcome;
 
-	warm(world, kind);
-	scene.sent_before = world->sent;
-	scene.replied_before = world->replied;
-	world->stepped = on_stepped;
-	world->ctx = &scene;
-	scene.armed = true;
+	warm_up(world, kind);
+	scenario.sent_before = world->sent;
+	scenario.replied_before = world->replied;
+	world->after_step = on_stepped;
+	world->ctx = &scenario;
+	scenario.injecting = true;
 	if ((at[1] ? at[1] : at[0]) >= &steps[STEP_LATE])
-		near_slow(&scene);
-	inject_before(&scene);
-	scene.played = front_world_request(world, kind->route, PATIENCE_US);
-	on_stepped(&scene);
-	while (world->now_us < scene.played->sent_us + HEAL_AFTER_US) {
-		front_world_pass(world, 1000);
-		on_stepped(&scene);
+		near_slow(&scenario);
+	inject_before(&scenario);
+	scenario.test_request = front_world_request(world, kind->route, CALLER_TIMEOUT_US);
+	on_stepped(&scenario);
+	while (world->now_us < scenario.test_request->sent_us + HEAL_AFTER_US) {
+		front_world_advance(world, 1000);
+		on_stepped(&scenario);
 	}
-	scene.armed = false;
-	heal(&scene);
-	front_world_pass(world, SETTLE_US);
+	scenario.injecting = false;
+	heal_searchers(&scenario);
+	front_world_advance(world, SETTLE_US);
 	front_world_check_end(world);
-	if (world->wrong->len) {
-		(*broken)++;
+	if (world->violations->len) {
+		(*failed_runs)++;
 		printf("BROKEN %s, %s at \"%s\"%s%s:\n%s", kind->title, pair[0]->name, at[0]->name,
-		       pair[1] ? " and " : "", pair[1] ? pair[1]->name : "", world->wrong->str);
+		       pair[1] ? " and " : "", pair[1] ? pair[1]->name : "",
+		       world->violations->str);
 	}
-	outcome = g_strdup(scene.played->outcome->str);
+	outcome = g_strdup(scenario.test_request->outcome->str);
 	front_world_free(world);
 	return outcome;
 }
 
 static uint32_t write_table(const kind_t *kind, GString *page)
 {
-	uint32_t broken = 0;
+	uint32_t failed_runs = 0;
 
 	g_string_append_printf(page, "\n## A fault during %s\n\n| fault |", kind->title);
 	for (size_t s = 0; s < G_N_ELEMENTS(steps); s++)
@@ -274,18 +281,18 @@
 		for (size_t s = 0; s < G_N_ELEMENTS(steps); s++) {
 			const fault_t *const one[2] = {&faults[f], NULL};
 			const step_t *const at[2] = {&steps[s], NULL};
-			g_autofree char *outcome = play(kind, one, at, &broken);
+			g_autofree char *outcome = run_scenario(kind, one, at, &failed_runs);
 
 			g_string_append_printf(page, " %s |", outcome);
 		}
 		g_string_append_c(page, '\n');
 	}
-	return broken;
+	return failed_runs;
 }
 
 static uint32_t run_pairs(const kind_t *kind, uint32_t *pairs)
 {
-	uint32_t broken = 0;
+	uint32_t failed_runs = 0;
 
 	for (size_t f = 0; f < G_N_ELEMENTS(faults); f++) {
 		for (size_t g = 0; g < G_N_ELEMENTS(faults); g++) {
@@ -293,12 +300,12 @@
 				const fault_t *const both[2] = {&faults[f], &faults[g]};
 				const step_t *const at[2] = {&steps[s], &steps[s + 1]};
 
-				g_free(play(kind, both, at, &broken));
+				g_free(run_scenario(kind, both, at, &failed_runs));
 				(*pairs)++;
 			}
 		}
 	}
-	return broken;
+	return failed_runs;
 }
 
 static const char head[] =
@@ -324,18 +331,18 @@
 int main(int argc, char **argv)
 {
 	GString *page = g_string_new(head);
-	uint32_t broken = 0, pairs = 0;
+	uint32_t failed_runs = 0, pairs = 0;
 
 	for (size_t k = 0; k < G_N_ELEMENTS(kinds); k++)
-		broken += write_table(&kinds[k], page);
+		failed_runs += write_table(&kinds[k], page);
 	for (size_t k = 0; k < G_N_ELEMENTS(kinds); k++)
-		broken += run_pairs(&kinds[k], &pairs);
+		failed_runs += run_pairs(&kinds[k], &pairs);
 	g_string_append_printf(page,
 			       "\n## Pairs\n\nEvery two faults, one step apart, during each of the "
 			       "three: %u runs, %u broke a promise.\n",
-			       pairs, broken);
-	broken += !matrix_page_matches("docs/FAULTS-FORWARDING.md", page, argc, argv);
+			       pairs, failed_runs);
+	failed_runs += !matrix_page_matches("docs/FAULTS-FORWARDING.md", page, argc, argv);
 	g_string_free(page, TRUE);
-	printf("fault matrix of forwarding: %u pairs, %u broken\n", pairs, broken);
-	return broken ? 1 : 0;
+	printf("fault matrix of forwarding: %u pairs, %u broken\n", pairs, failed_runs);
+	return failed_runs ? 1 : 0;
 }
--- a/tests/front_random_test.c
+++ b/tests/front_random_test.c
@@ -1,9 +1,9 @@
 /**
  * @file front_random_test.c
- * Random schedules over forwarding: requests of all routes, callers that leave, and faults of
- * searchers, store, configuration and VM, by seed. Each seed is played once more with routes that
- * must stay in a region, evacuations, cold searchers and a store that comes back from a copy.
- * front_world.h checks the promises.
+ * Random schedules of forwarding, by seed: requests on all routes, callers that disconnect, and
+ * faults of searchers, store, configuration and VM. Each seed runs a second time with routes that
+ * must stay in a region, evacuations, cold searchers and a store that is restored from an older
+ * copy of its data. front_world.c checks the promises.
  *
  *     front_random_test SEEDS [FIRST]
  */
@@ -13,20 +13,20 @@
 #include <stdlib.h>
 
 #define STEPS 400
-#define STEP_MOST_US 60000
+#define STEP_MAX_US 60000
 #define SETTLE_US 20000000
-#define STILL_MOST_US 2000000
-/* At the end, this many requests of each route must be answered whole. */
-#define LAST_REQUESTS 5
+#define SUSPEND_MAX_US 2000000
+/* At the end, this many requests of each route must get a complete answer. */
+#define FINAL_REQUESTS 5
 
-static fake_t *any_fake(front_world_t *world)
+static fake_searcher_t *random_searcher(front_world_t *world)
 {
 	gint index = g_rand_int_range(world->rand, 0, (gint32)world->fakes->len);
 
 	return g_ptr_array_index(world->fakes, index);
 }
 
-static void any_request(front_world_t *world)
+static void submit_request(front_world_t *world)
 {
 	static const char *const routes[] = {"find", "find", "get", "act"};
 
@@ -34,12 +34,12 @@
 			    (uint64_t)g_rand_int_range(world->rand, 30000, 900000));
 }
 
-/* Some requests are asked for again and again, by callers who do no harm. */
+/* Number of requests that callers repeat often and that crash no searcher. */
 #define POPULAR 4
-/* Others crash the searchers that run them, and come back all the same. */
-#define CRASHERS 3
+/* Number of poison requests, which callers repeat too. */
+#define POISON_REQUESTS 3
 
-static void any_repeated(front_world_t *world)
+static void submit_popular_request(front_world_t *world)
 {
 	static const char *const routes[] = {"find", "get"};
 	g_autofree char *path =
@@ -49,70 +49,71 @@
 			    (uint64_t)g_rand_int_range(world->rand, 30000, 900000));
 }
 
-static void any_crasher(front_world_t *world)
+static void submit_poison_request(front_world_t *world)
 {
-	static const char *const routes[CRASHERS] = {"find", "get", "act"};
-	gint which = g_rand_int_range(world->rand, 0, CRASHERS);
+	static const char *const routes[POISON_REQUESTS] = {"find", "get", "act"};
+	gint which = g_rand_int_range(world->rand, 0, POISON_REQUESTS);
 	g_autofree char *path = g_strdup_printf("crash-%d", which);
 
 	front_world_attempt(world, routes[which], path,
 			    (uint64_t)g_rand_int_range(world->rand, 30000, 900000));
 }
 
-static void any_leaves(front_world_t *world)
+static void abandon_request(front_world_t *world)
 {
-	if (!world->played->len)
+	if (!world->test_requests->len)
 		return;
-	front_world_leave(world, g_ptr_array_index(world->played,
-						   g_rand_int_range(world->rand, 0,
-								    (gint32)world->played->len)));
+	front_world_abandon(world,
+			    g_ptr_array_index(world->test_requests,
+					      g_rand_int_range(world->rand, 0,
+							       (gint32)world->test_requests->len)));
 }
 
-static void any_behaviour(front_world_t *world)
+static void change_behaviour(front_world_t *world)
 {
-	front_world_behave(world, any_fake(world),
-			   (behaviour_t)g_rand_int_range(world->rand, 0, BEHAVIOURS));
+	front_world_set_behaviour(world, random_searcher(world),
+				  (behaviour_t)g_rand_int_range(world->rand, 0, BEHAVIOURS));
 }
 
-static void any_heals(front_world_t *world)
+static void heal_searcher(front_world_t *world)
 {
-	front_world_behave(world, any_fake(world), SERVES);
+	front_world_set_behaviour(world, random_searcher(world), SERVES);
 }
 
-static void any_sighting(front_world_t *world)
+static void report_observation(front_world_t *world)
 {
-	const observation_t sighting = {
+	const observation_t observation = {
 		.type = (observation_type_t)g_rand_int_range(world->rand, 0, OBSERVATION_TYPES),
-		.searcher = any_fake(world)->id,
+		.searcher = random_searcher(world)->id,
 		.after_us = (uint64_t)g_rand_int_range(world->rand, 1, 500000)};
 
-	forwarder_take_observation(world->forwarder, &sighting, world->now_us);
+	forwarder_take_observation(world->forwarder, &observation, world->now_us);
 }
 
-static void any_restarts(front_world_t *world)
+static void restart_searcher(front_world_t *world)
 {
-	front_world_restart(world, any_fake(world));
+	front_world_restart(world, random_searcher(world));
 }
 
-static void store_goes(front_world_t *world)
+static void lose_store(front_world_t *world)
 {
 	registry_store_lost(world->registry);
 }
 
-static void store_comes(front_world_t *world)
+static void recover_store(front_world_t *world)
 {
 	registry_store_recovered(world->registry, world->now_us);
 }
 
-static void stands_still(front_world_t *world)
+static void suspend_vm(front_world_t *world)
 {
-	front_world_stand_still(world, (uint64_t)g_rand_int_range(world->rand, 0, STILL_MOST_US));
+	front_world_suspend(world, (uint64_t)g_rand_int_range(world->rand, 0, SUSPEND_MAX_US));
 }
 
-#define COLD_MOST_US 3000000
-#define COLD_SHARE_MOST 2
+#define COLD_MAX_US 3000000
+#define COLD_SHARE_MAX 2
 
-static void any_home_request(front_world_t *world)
+static void submit_home_request(front_world_t *world)
 {
 	static const char *const routes[] = {"home", "kept"};
 
@@ -120,70 +121,71 @@
 			    (uint64_t)g_rand_int_range(world->rand, 30000, 900000));
 }
 
-static void any_evacuates(front_world_t *world)
+static void evacuate(front_world_t *world)
 {
 	front_world_evacuate(world, g_rand_boolean(world->rand), true);
 }
 
-static void any_reopens(front_world_t *world)
+static void reopen(front_world_t *world)
 {
 	front_world_evacuate(world, g_rand_boolean(world->rand), false);
 }
 
-static void any_chills(front_world_t *world)
+static void make_cold(front_world_t *world)
 {
-	front_world_chill(world, any_fake(world),
-			  (uint64_t)g_rand_int_range(world->rand, 100000, COLD_MOST_US),
-			  (uint32_t)g_rand_int_range(world->rand, 0, COLD_SHARE_MOST + 1));
+	front_world_set_cold(world, random_searcher(world),
+			     (uint64_t)g_rand_int_range(world->rand, 100000, COLD_MAX_US),
+			     (uint32_t)g_rand_int_range(world->rand, 0, COLD_SHARE_MAX + 1));
 }
 
-static void store_restored(front_world_t *world)
+static void restore_store(front_world_t *world)
 {
-	front_world_restore(world, any_fake(world));
+	front_world_restore(world, random_searcher(world));
 }
 
-/** What may happen at a step, and how often. */
+/** An action that may happen at a step, and its weight. */
 typedef struct action_t {
 	void (*run)(front_world_t *world);
 	uint32_t weight;
-	bool of_places; /**< only where regions, evacuations, cold rests and copies are played */
+	bool needs_placement; /**< only with regions, evacuations, cold searchers, copies */
 } action_t;
 
 static const action_t actions[] = {
-	{any_request, 50},
-	{any_repeated, 10},
-	{any_leaves, 6},
-	{any_behaviour, 8},
-	{any_heals, 10},
-	{any_sighting, 6},
-	{any_restarts, 2},
-	{store_goes, 1},
-	{store_comes, 2},
-	{stands_still, 1},
-	{any_crasher, 8},
+	{submit_request, 50},
+	{submit_popular_request, 10},
+	{abandon_request, 6},
+	{change_behaviour, 8},
+	{heal_searcher, 10},
+	{report_observation, 6},
+	{restart_searcher, 2},
+	{lose_store, 1},
+	{recover_store, 2},
+	{suspend_vm, 1},
+	{submit_poison_request, 8},
 	{front_world_configure, 1},
-	{any_home_request, 20, true},
-	{any_evacuates, 2, true},
-	{any_reopens, 4, true},
-	{any_chills, 6, true},
-	{store_restored, 2, true},
+	{submit_home_request, 20, true},
+	{evacuate, 2, true},
+	{reopen, 4, true},
+	{make_cold, 6, true},
+	{restore_store, 2, true},
 };
 
-/* Each other seed does without: searchers are down for much of the others. */
-static bool is_played(const action_t *action, uint32_t seed, bool places)
+/* Only odd seeds have poison requests, because searchers are down for much of such a run. */
+static bool is_enabled(const action_t *action, uint32_t seed, bool placement)
 {
-	return (places || !action->of_places) && (action->run != any_crasher || seed % 2);
+	return (placement || !action->needs_placement) &&
+	       (action->run != submit_poison_request || seed % 2);
 }
 
-static void act(front_world_t *world, uint32_t seed, bool places)
+static void run_random_action(front_world_t *world, uint32_t seed, bool placement)
 {
 	uint32_t sum = 0, drawn;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(actions); i++)
-		sum += is_played(&actions[i], seed, places) ? actions[i].weight : 0;
+		sum += is_enabled(&actions[i], seed, placement) ? actions[i].weight : 0;
 	drawn = (uint32_t)g_rand_int_range(world->rand, 0, (gint32)sum);
 	for (size_t i = 0; i < G_N_ELEMENTS(actions); i++) {
-		if (!is_played(&actions[i], seed, places))
+		if (!is_enabled(&actions[i], seed, placement))
 			continue;
 		if (drawn < actions[i].weight) {
 			actions[i].run(world);
@@ -193,48 +195,49 @@
 	}
 }
 
-static void expect_whole(front_world_t *world, const char *route)
+static void expect_complete(front_world_t *world, const char *route)
 {
-	for (int i = 0; i < LAST_REQUESTS; i++) {
-		played_t *played = front_world_request(world, route, 800000);
+	for (int i = 0; i < FINAL_REQUESTS; i++) {
+		test_request_t *test_request = front_world_request(world, route, 800000);
 
-		front_world_pass(world, 1000000);
-		if (!g_str_equal(played->outcome->str, "whole"))
-			g_string_append_printf(world->wrong, "at the end %s is answered: %s\n",
-					       route, played->outcome->str);
+		front_world_advance(world, 1000000);
+		if (!g_str_equal(test_request->outcome->str, "whole"))
+			g_string_append_printf(world->violations, "at the end %s is answered: %s\n",
+					       route, test_request->outcome->str);
 	}
 }
 
-static bool run_seed(uint32_t seed, bool places)
+static bool run_seed(uint32_t seed, bool placement)
 {
 	front_world_t *world = front_world_new(seed);
-	bool sound;
+	bool passed;
 
 	for (int i = 0; i < STEPS; i++) {
-		act(world, seed, places);
-		front_world_pass(world, (uint64_t)g_rand_int_range(world->rand, 0, STEP_MOST_US));
+		run_random_action(world, seed, placement);
+		front_world_advance(world, (uint64_t)g_rand_int_range(world->rand, 0, STEP_MAX_US));
 	}
-	store_comes(world);
-	if (places) {
+	recover_store(world);
+	if (placement) {
 		front_world_evacuate(world, true, false);
 		front_world_evacuate(world, false, false);
 	}
 	for (guint i = 0; i < world->fakes->len; i++)
-		front_world_behave(world, g_ptr_array_index(world->fakes, i), SERVES);
-	front_world_pass(world, SETTLE_US);
-	expect_whole(world, "find");
-	expect_whole(world, "get");
-	expect_whole(world, "act");
-	if (places) {
-		expect_whole(world, "home");
-		expect_whole(world, "kept");
+		front_world_set_behaviour(world, g_ptr_array_index(world->fakes, i), SERVES);
+	front_world_advance(world, SETTLE_US);
+	expect_complete(world, "find");
+	expect_complete(world, "get");
+	expect_complete(world, "act");
+	if (placement) {
+		expect_complete(world, "home");
+		expect_complete(world, "kept");
 	}
 	front_world_check_end(world);
-	sound = world->wrong->len == 0;
-	if (!sound)
-		printf("seed %u%s:\n%s", seed, places ? " with places" : "", world->wrong->str);
+	passed = world->violations->len == 0;
+	if (!passed)
+		printf("seed %u%s:\n%s", seed, placement ? " with places" : "",
+		       world->violations->str);
 	front_world_free(world);
-	return sound;
+	return passed;
 }
 
 int main(int argc, char **argv)
--- a/tests/front_world.c
+++ b/tests/front_world.c
@@ -1,38 +1,38 @@
 /**
  * @file front_world.c
- * See front_world.h.
+ * The simulated world of the forwarding tests; see front_world.h.
  */
 #include "front_world.h"
 
 #include <string.h>
 
-#define NEAR_US 12000
-#define FAR_US 40000
-#define WAY_US 1000
-#define SLOW_TIMES 10
-#define RATIO 0.2
-#define CONSTANT 6.0
-#define WINDOW_US 10000000
+#define NEAR_LATENCY_US 12000
+#define FAR_LATENCY_US 40000
+#define NETWORK_DELAY_US 1000
+#define SLOW_FACTOR 10
+#define EXTRA_RATIO 0.2
+#define EXTRA_CONSTANT 6.0
+#define EXTRA_WINDOW_US 10000000
 #define NEVER UINT64_MAX
 #define RECORD_BYTES 16
-/* From a searcher's crash to its next start. */
-#define BACK_US 2500000
-/* After the third crash, all VMs must know the request within the users' settle time. */
-#define KNOWN_US 5000000
-#define CRASHES_MOST 3
-#define LATE_MOST 3
-/* The longest pause between trials of a suspect (8 s), the wait for one that was lost elsewhere (4
- * s), and for a caller with enough time (3 s). */
-#define DEFERRED_MOST_US 15000000
-
-/* A sub-request at a searcher, or on its way back. */
+/* From a searcher's crash to its restart. */
+#define RESTART_DELAY_US 2500000
+/* All VMs must know a poison request this long after its third crash: the users' settle time. */
+#define KNOWN_WITHIN_US 5000000
+#define CRASHES_MAX 3
+#define LATE_MAX 3
+/* The longest pause between trials of a suspect request (8 s), plus the wait for a trial that was
+ * lost at another VM (4 s), plus the wait for a caller with enough time (3 s). */
+#define DEFERRED_MAX_US 15000000
+
+/* An outstanding sub-request. */
 typedef struct pending_t {
 	subrequest_t *sub;
-	fake_t *fake;
+	fake_searcher_t *fake;
 	char *request;
-	crasher_t *crasher; /* NULL: its request does no harm */
+	poison_request_t *poison_request; /* NULL: the request crashes no searcher */
 	uint64_t due_us;
-	sub_outcome_t end;
+	sub_outcome_t outcome;
 	bool broken;
 } pending_t;
 
@@ -44,39 +44,39 @@
 	g_free(pending);
 }
 
-static void wrong(front_world_t *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
+static void report_violation(front_world_t *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-static void wrong(front_world_t *world, const char *format, ...)
+static void report_violation(front_world_t *world, const char *format, ...)
 {
 	va_list args;
 
 	va_start(args, format);
-	g_string_append_vprintf(world->wrong, format, args);
-	g_string_append_c(world->wrong, '\n');
+	g_string_append_vprintf(world->violations, format, args);
+	g_string_append_c(world->violations, '\n');
 	va_end(args);
 }
 
-static void stepped(front_world_t *world)
+static void notify_step(front_world_t *world)
 {
-	if (world->stepped)
-		world->stepped(world->ctx);
+	if (world->after_step)
+		world->after_step(world->ctx);
 }
 
 const char *behaviour_name(behaviour_t behaviour)
 {
 	static const char *const names[BEHAVIOURS] = {
-		[SERVES] = "serves",   [SLOW] = "is slow",
-		[HANGS] = "hangs",     [FAILS] = "fails",
-		[REFUSES] = "refuses", [CUTS] = "cuts",
-		[LOST] = "is lost",    [REPLACED] = "has lost its address"};
+		[SERVES] = "serves",	  [SLOW] = "is slow",
+		[HANGS] = "hangs",	  [FAILS] = "fails",
+		[REFUSES] = "refuses",	  [DISCONNECTS] = "cuts",
+		[TERMINATED] = "is lost", [REPLACED] = "has lost its address"};
 
 	return names[behaviour];
 }
 
-fake_t *front_world_fake(const front_world_t *world, const char *id)
+fake_searcher_t *front_world_searcher(const front_world_t *world, const char *id)
 {
 	for (guint i = 0; i < world->fakes->len; i++) {
-		fake_t *fake = g_ptr_array_index(world->fakes, i);
+		fake_searcher_t *fake = g_ptr_array_index(world->fakes, i);
 
 		if (g_str_equal(fake->id, id))
 			return fake;
@@ -84,7 +84,7 @@
 	return NULL;
 }
 
-/* ---- what searchers see ---- */
+/* ---- runs at searchers ---- */
 
 static void count_run(front_world_t *world, const char *request, const char *service)
 {
@@ -92,138 +92,146 @@
 	guint runs = GPOINTER_TO_UINT(g_hash_table_lookup(world->runs, key)) + 1;
 
 	g_hash_table_insert(world->runs, key, GUINT_TO_POINTER(runs));
-	for (guint i = 0; i < world->played->len; i++) {
-		const played_t *played = g_ptr_array_index(world->played, i);
+	for (guint i = 0; i < world->test_requests->len; i++) {
+		const test_request_t *test_request = g_ptr_array_index(world->test_requests, i);
 
-		if (!g_str_equal(played->id, request))
+		if (!g_str_equal(test_request->id, request))
 			continue;
-		if (runs > played->route->max_attempts)
-			wrong(world, "%s ran %u times at %s", request, runs, service);
-		if (played->said_not_run)
-			wrong(world, "%s ran after it was said that it had not", request);
+		if (runs > test_request->route->max_attempts)
+			report_violation(world, "%s ran %u times at %s", request, runs, service);
+		if (test_request->reported_not_run)
+			report_violation(world, "%s ran after it was said that it had not",
+					 request);
 	}
 }
 
-static uint32_t within_window(const GArray *times, uint64_t now_us)
+static uint32_t count_in_window(const GArray *times, uint64_t now_us)
 {
 	uint32_t count = 0;
 
 	for (guint i = times->len; i-- > 0;) {
-		if (g_array_index(times, uint64_t, i) + WINDOW_US < now_us)
+		if (g_array_index(times, uint64_t, i) + EXTRA_WINDOW_US < now_us)
 			break;
 		count++;
 	}
 	return count;
 }
 
-/* ---- requests that crash searchers ---- */
+/* ---- poison requests ---- */
 
-static void crasher_free(void *data)
+static void poison_request_free(void *data)
 {
-	crasher_t *crasher = data;
+	poison_request_t *poison_request = data;
 
-	g_free(crasher->path);
-	g_hash_table_unref(crasher->late);
-	g_free(crasher);
+	g_free(poison_request->path);
+	g_hash_table_unref(poison_request->late);
+	g_free(poison_request);
 }
 
-static crasher_t *crasher_of(front_world_t *world, const char *path)
+static poison_request_t *poison_request_for(front_world_t *world, const char *path)
 {
-	crasher_t *crasher = g_hash_table_lookup(world->crashers, path);
+	poison_request_t *poison_request = g_hash_table_lookup(world->poison_requests, path);
 
-	if (crasher || !g_str_has_prefix(path, "crash"))
-		return crasher;
-	crasher = g_new0(crasher_t, 1);
-	crasher->path = g_strdup(path);
-	crasher->late = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	g_hash_table_insert(world->crashers, crasher->path, crasher);
-	return crasher;
+	if (poison_request || !g_str_has_prefix(path, "crash"))
+		return poison_request;
+	poison_request = g_new0(poison_request_t, 1);
+	poison_request->path = g_strdup(path);
+	poison_request->late = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	g_hash_table_insert(world->poison_requests, poison_request->path, poison_request);
+	return poison_request;
 }
 
-/* However many searchers run it, callers of others must not pay for it again and again. */
-static void check_late(front_world_t *world, crasher_t *crasher, const char *request)
+/* Once all VMs must know a poison request, only LATE_MAX more attempts may reach searchers: other
+ * callers must not lose their searchers to it again and again. */
+static void check_late(front_world_t *world, poison_request_t *poison_request, const char *request)
 {
-	if (!crasher->known_us || world->now_us < MAX(crasher->known_us, world->in_touch_us))
+	if (!poison_request->known_by_us ||
+	    world->now_us < MAX(poison_request->known_by_us, world->poison_checked_from_us))
 		return;
-	g_hash_table_add(crasher->late, g_strdup(request));
-	if (g_hash_table_size(crasher->late) > LATE_MOST)
-		wrong(world, "%s reaches a searcher, the attempt %u of %s since it is known",
-		      request, g_hash_table_size(crasher->late), crasher->path);
+	g_hash_table_add(poison_request->late, g_strdup(request));
+	if (g_hash_table_size(poison_request->late) > LATE_MAX)
+		report_violation(
+			world, "%s reaches a searcher, the attempt %u of %s since it is known",
+			request, g_hash_table_size(poison_request->late), poison_request->path);
 }
 
-static void note_crash(front_world_t *world, const pending_t *pending)
+static void record_crash(front_world_t *world, const pending_t *pending)
 {
-	crasher_t *crasher = pending->crasher;
+	poison_request_t *poison_request = pending->poison_request;
 
-	if (++crasher->crashed == CRASHES_MOST)
-		crasher->known_us = world->now_us + KNOWN_US;
+	if (++poison_request->crashes == CRASHES_MAX)
+		poison_request->known_by_us = world->now_us + KNOWN_WITHIN_US;
 	if (world->crashed)
 		world->crashed(world->ctx, pending->fake);
 	else
-		front_world_crash(world, pending->fake, BACK_US);
+		front_world_crash(world, pending->fake, RESTART_DELAY_US);
 }
 
-/* The bound of one service; all of the world's together are looser, so each request counts for all
- * three shards. */
-static void check_bound(front_world_t *world, const char *request, const char *service)
+/* Checks the bound on extra sub-requests. The bound holds for each service; this check covers all
+ * services together and is looser, since it counts each request for every service. */
+static void check_extra_bound(front_world_t *world, const char *request, const char *service)
 {
 	char *key = g_strdup_printf("%s %s", request, service);
-	uint32_t extras, requests;
+	uint32_t extra_sends, requests;
 
-	if (g_hash_table_add(world->firsts, key))
+	if (g_hash_table_add(world->first_sends, key))
 		return;
-	g_array_append_val(world->extras, world->now_us);
-	extras = within_window(world->extras, world->now_us);
-	requests = within_window(world->requests, world->now_us);
-	if (extras > 4 * (RATIO * requests + CONSTANT))
-		wrong(world, "%u extra sub-requests for %u requests", extras, requests);
+	g_array_append_val(world->extra_sends, world->now_us);
+	extra_sends = count_in_window(world->extra_sends, world->now_us);
+	requests = count_in_window(world->requests, world->now_us);
+	if (extra_sends > 4 * (EXTRA_RATIO * requests + EXTRA_CONSTANT))
+		report_violation(world, "%u extra sub-requests for %u requests", extra_sends,
+				 requests);
 }
 
-static bool runs_it(behaviour_t behaviour)
+static bool executes(behaviour_t behaviour)
 {
-	return behaviour != REFUSES && behaviour != LOST && behaviour != REPLACED;
+	return behaviour != REFUSES && behaviour != TERMINATED && behaviour != REPLACED;
 }
 
-static void set_end(const front_world_t *world, pending_t *pending, behaviour_t behaviour)
+static void set_outcome(const front_world_t *world, pending_t *pending, behaviour_t behaviour)
 {
-	static const sub_outcome_t ends[BEHAVIOURS] = {
-		[SERVES] = SUB_ANSWERED, [SLOW] = SUB_ANSWERED,	   [HANGS] = SUB_UNKNOWN,
-		[FAILS] = SUB_FAILED,	 [REFUSES] = SUB_NOT_RUN,  [CUTS] = SUB_UNKNOWN,
-		[LOST] = SUB_NOT_SENT,	 [REPLACED] = SUB_REPLACED};
-	uint64_t takes_us = pending->fake->near ? NEAR_US : FAR_US;
+	static const sub_outcome_t outcomes[BEHAVIOURS] = {
+		[SERVES] = SUB_ANSWERED,     [SLOW] = SUB_ANSWERED,    [HANGS] = SUB_UNKNOWN,
+		[FAILS] = SUB_FAILED,	     [REFUSES] = SUB_NOT_RUN,  [DISCONNECTS] = SUB_UNKNOWN,
+		[TERMINATED] = SUB_NOT_SENT, [REPLACED] = SUB_REPLACED};
+	uint64_t latency_us = pending->fake->near ? NEAR_LATENCY_US : FAR_LATENCY_US;
 
-	pending->broken = behaviour == CUTS;
+	pending->broken = behaviour == DISCONNECTS;
 	if (behaviour == SLOW)
-		takes_us *= SLOW_TIMES;
-	if (!runs_it(behaviour))
-		takes_us = WAY_US;
-	pending->end = ends[behaviour];
-	pending->due_us = behaviour == HANGS ? NEVER : world->now_us + takes_us;
+		latency_us *= SLOW_FACTOR;
+	if (!executes(behaviour))
+		latency_us = NETWORK_DELAY_US;
+	pending->outcome = outcomes[behaviour];
+	pending->due_us = behaviour == HANGS ? NEVER : world->now_us + latency_us;
 }
 
-/* In a window of this length, from its first sending on, a cold searcher gets its share at most. */
-static void check_cold(front_world_t *world, fake_t *fake, const char *request)
+/* Checks that a cold searcher gets at most its share in a window of COLD_WINDOW_US, which starts
+ * with the first sub-request sent to it. */
+static void check_cold(front_world_t *world, fake_searcher_t *fake, const char *request)
 {
 	if (world->now_us >= fake->cold_until_us)
 		return;
-	if (!fake->cold_sent || world->now_us >= fake->cold_from_us + COLD_WINDOW_US) {
-		fake->cold_from_us = world->now_us;
+	if (!fake->cold_sent || world->now_us >= fake->cold_window_start_us + COLD_WINDOW_US) {
+		fake->cold_window_start_us = world->now_us;
 		fake->cold_sent = 0;
 	}
 	if (++fake->cold_sent > fake->cold_share)
-		wrong(world, "%s is the sending %u of a window to %s, which is cold", request,
-		      fake->cold_sent, fake->id);
+		report_violation(world, "%s is the sending %u of a window to %s, which is cold",
+				 request, fake->cold_sent, fake->id);
 }
 
-/* Where it may go at all. */
-static void check_place(front_world_t *world, const subrequest_t *sub, const fake_t *fake)
+/* Checks that the route allows the searcher's region and that its data centre is not evacuated. */
+static void check_placement(front_world_t *world, const subrequest_t *sub,
+			    const fake_searcher_t *fake)
 {
 	const char *request = sub->forward->request.id;
 
 	if (!route_allows(sub->forward->route, sub->searcher->region))
-		wrong(world, "%s must stay here and is sent to %s", request, sub->searcher->id);
+		report_violation(world, "%s must stay here and is sent to %s", request,
+				 sub->searcher->id);
 	if (fake && world->evacuated[fake->near])
-		wrong(world, "%s is sent to %s, which is evacuated", request, fake->id);
+		report_violation(world, "%s is sent to %s, which is evacuated", request, fake->id);
 }
 
 static void on_send(void *ctx, subrequest_t *sub)
@@ -232,30 +240,32 @@
 	pending_t *pending = g_new0(pending_t, 1);
 
 	pending->sub = sub;
-	pending->fake = front_world_fake(world, sub->searcher->id);
+	pending->fake = front_world_searcher(world, sub->searcher->id);
 	pending->request = g_strdup(sub->forward->request.id);
-	check_place(world, sub, pending->fake);
+	check_placement(world, sub, pending->fake);
 	if (!pending->fake) {
-		wrong(world, "%s is sent to %s, which had gone", pending->request,
-		      sub->searcher->id);
+		report_violation(world, "%s is sent to %s, which had gone", pending->request,
+				 sub->searcher->id);
 		pending->fake = g_ptr_array_index(world->fakes, 0);
 	}
 	check_cold(world, pending->fake, pending->request);
-	set_end(world, pending, pending->fake->behaviour);
+	set_outcome(world, pending, pending->fake->behaviour);
 	sub->searcher->connections++;
 	if (sub->searcher->state != SEARCHER_READY)
-		wrong(world, "%s is sent to %s, which leaves", pending->request, pending->fake->id);
-	if (pending->fake->behaviour != LOST) /* nobody listens: it does not arrive */
-		check_bound(world, pending->request, sub->pool->service);
-	if (runs_it(pending->fake->behaviour)) {
-		pending->crasher = ((played_t *)sub->forward->owner)->crasher;
+		report_violation(world, "%s is sent to %s, which leaves", pending->request,
+				 pending->fake->id);
+	/* When no process listens, the sub-request does not arrive. */
+	if (pending->fake->behaviour != TERMINATED)
+		check_extra_bound(world, pending->request, sub->pool->service);
+	if (executes(pending->fake->behaviour)) {
+		pending->poison_request = ((test_request_t *)sub->forward->owner)->poison_request;
 		count_run(world, pending->request, sub->pool->service);
 	}
-	if (pending->crasher) {
-		pending->due_us = MIN(pending->due_us, world->now_us + FAR_US);
-		check_late(world, pending->crasher, pending->request);
+	if (pending->poison_request) {
+		pending->due_us = MIN(pending->due_us, world->now_us + FAR_LATENCY_US);
+		check_late(world, pending->poison_request, pending->request);
 	}
-	g_ptr_array_add(world->out, pending);
+	g_ptr_array_add(world->outstanding, pending);
 	world->sent++;
 }
 
@@ -264,19 +274,19 @@
 	front_world_t *world = ctx;
 
 	sub->searcher->connections--;
-	for (guint i = 0; i < world->out->len; i++) {
-		if (((pending_t *)g_ptr_array_index(world->out, i))->sub != sub)
+	for (guint i = 0; i < world->outstanding->len; i++) {
+		if (((pending_t *)g_ptr_array_index(world->outstanding, i))->sub != sub)
 			continue;
-		g_ptr_array_remove_index(world->out, i);
+		g_ptr_array_remove_index(world->outstanding, i);
 		return;
 	}
-	wrong(world, "what is not out is cancelled at %s", sub->searcher->id);
+	report_violation(world, "what is not out is cancelled at %s", sub->searcher->id);
 }
 
-/* What the connections to it show: a new one is refused, or accepted. */
-static void look_for_process(front_world_t *world, searcher_t *searcher, behaviour_t behaviour)
+/* Reports what a new connection to the searcher shows: it is refused or accepted. */
+static void report_process_state(front_world_t *world, searcher_t *searcher, behaviour_t behaviour)
 {
-	if (behaviour == LOST)
+	if (behaviour == TERMINATED)
 		forwarder_searcher_ended(world->forwarder, searcher, world->now_us);
 	else
 		forwarder_searcher_listens(world->forwarder, searcher, world->now_us);
@@ -284,38 +294,39 @@
 
 static void reply(front_world_t *world, pending_t *pending)
 {
-	sub_reply_t *sub_reply = sub_reply_new(pending->end);
+	sub_reply_t *sub_reply = sub_reply_new(pending->outcome);
 	subrequest_t *sub = pending->sub;
 	searcher_t *searcher = searcher_ref(sub->searcher);
-	bool shows = pending->broken || pending->end == SUB_NOT_SENT;
+	bool shows_process = pending->broken || pending->outcome == SUB_NOT_SENT;
 	behaviour_t behaviour = pending->fake->behaviour;
 
 	sub->searcher->connections--;
 	sub->searcher->idle = 1;
 	sub_reply->broken = pending->broken;
-	sub_reply->status = pending->end == SUB_ANSWERED ? 200 : 500;
+	sub_reply->status = pending->outcome == SUB_ANSWERED ? 200 : 500;
 	sub_reply->stamp = g_strdup_printf("%s.%s", sub->pool->service, pending->request);
 	sub_reply->body = g_string_new(NULL);
 	g_string_printf(sub_reply->body, "%-*s", RECORD_BYTES, sub->pool->service);
-	g_ptr_array_remove(world->out, pending);
+	g_ptr_array_remove(world->outstanding, pending);
 	world->replied++;
 	forwarder_subrequest_ended(world->forwarder, sub, sub_reply, world->now_us);
-	if (shows)
-		look_for_process(world, searcher, behaviour);
+	if (shows_process)
+		report_process_state(world, searcher, behaviour);
 	searcher_unref(searcher);
-	stepped(world);
+	notify_step(world);
 }
 
-/* A searcher that runs such a request ends in place of an answer. */
-static void arrive(front_world_t *world, pending_t *pending)
+/* Ends a sub-request that is due: a searcher that runs a poison request crashes instead of
+ * answering. */
+static void finish_pending(front_world_t *world, pending_t *pending)
 {
-	if (pending->crasher && pending->fake->behaviour != LOST)
-		note_crash(world, pending);
+	if (pending->poison_request && pending->fake->behaviour != TERMINATED)
+		record_crash(world, pending);
 	else
 		reply(world, pending);
 }
 
-/* ---- what callers see ---- */
+/* ---- answers to callers ---- */
 
 static bool was_run(const front_world_t *world, const char *request)
 {
@@ -330,93 +341,97 @@
 	return false;
 }
 
-static bool says_not_run(forward_outcome_t end)
+static bool outcome_means_not_run(forward_outcome_t outcome)
 {
-	return end == FORWARD_NOT_READY || end == FORWARD_NO_SEARCHER ||
-	       end == FORWARD_SHUTTING_DOWN || end == FORWARD_TOO_LATE || end == FORWARD_FULL ||
-	       end == FORWARD_REJECTED || end == FORWARD_BLOCKED || end == FORWARD_DEFERRED;
+	return outcome == FORWARD_NOT_READY || outcome == FORWARD_NO_SEARCHER ||
+	       outcome == FORWARD_SHUTTING_DOWN || outcome == FORWARD_TOO_LATE ||
+	       outcome == FORWARD_FULL || outcome == FORWARD_REJECTED ||
+	       outcome == FORWARD_BLOCKED || outcome == FORWARD_DEFERRED;
 }
 
-static void check_stamps(front_world_t *world, const played_t *played,
+static void check_stamps(front_world_t *world, const test_request_t *test_request,
 			 const forward_answer_t *answer)
 {
 	g_auto(GStrv) stamps = g_strsplit(answer->stamps->str, ", ", 0);
 	guint count = g_strv_length(stamps);
 
 	if (count + answer->missing != answer->parts)
-		wrong(world, "%s: %u parts and %u missing of %u", played->id, count,
-		      answer->missing, answer->parts);
-	if (count < played->route->min_coverage * answer->parts - 1e-9)
-		wrong(world, "%s: %u of %u parts pass for a success", played->id, count,
-		      answer->parts);
+		report_violation(world, "%s: %u parts and %u missing of %u", test_request->id,
+				 count, answer->missing, answer->parts);
+	if (count < test_request->route->min_coverage * answer->parts - 1e-9)
+		report_violation(world, "%s: %u of %u parts pass for a success", test_request->id,
+				 count, answer->parts);
 	if (answer->records->len != (gsize)count * RECORD_BYTES)
-		wrong(world, "%s: %" G_GSIZE_FORMAT " bytes of %u parts", played->id,
-		      answer->records->len, count);
+		report_violation(world, "%s: %" G_GSIZE_FORMAT " bytes of %u parts",
+				 test_request->id, answer->records->len, count);
 	for (guint i = 0; i < count; i++) {
-		if (!strchr(stamps[i], '.') || !g_str_has_suffix(stamps[i], played->id))
-			wrong(world, "%s holds a part of another: %s", played->id, stamps[i]);
+		if (!strchr(stamps[i], '.') || !g_str_has_suffix(stamps[i], test_request->id))
+			report_violation(world, "%s holds a part of another: %s", test_request->id,
+					 stamps[i]);
 		for (guint j = 0; j < i; j++)
 			if (g_str_equal(stamps[i], stamps[j]))
-				wrong(world, "%s holds %s twice", played->id, stamps[i]);
+				report_violation(world, "%s holds %s twice", test_request->id,
+						 stamps[i]);
 	}
 }
 
-static void tell_outcome(played_t *played, const forward_answer_t *answer)
+static void record_outcome(test_request_t *test_request, const forward_answer_t *answer)
 {
 	if (answer->outcome != FORWARD_ANSWERED)
-		g_string_assign(played->outcome, forward_outcome_name(answer->outcome));
+		g_string_assign(test_request->outcome, forward_outcome_name(answer->outcome));
 	else if (answer->reply && answer->reply->status != 200)
-		g_string_assign(played->outcome, "the searcher's failure");
+		g_string_assign(test_request->outcome, "the searcher's failure");
 	else if (answer->missing)
-		g_string_printf(played->outcome, "%u of %u", answer->parts - answer->missing,
+		g_string_printf(test_request->outcome, "%u of %u", answer->parts - answer->missing,
 				answer->parts);
 	else
-		g_string_assign(played->outcome, "whole");
+		g_string_assign(test_request->outcome, "whole");
 }
 
-/* One that harms nobody must not be put off for as long as it is asked for. */
-static void check_deferred(front_world_t *world, const played_t *played, forward_outcome_t end)
+/* A request that crashes no searcher must not be deferred forever while callers retry it. */
+static void check_deferred(front_world_t *world, const test_request_t *test_request,
+			   forward_outcome_t outcome)
 {
-	const uint64_t *first_us = g_hash_table_lookup(world->deferred, &played->fingerprint);
+	const uint64_t *first_us = g_hash_table_lookup(world->deferred, &test_request->fingerprint);
 
-	if (end != FORWARD_DEFERRED)
-		g_hash_table_remove(world->deferred, &played->fingerprint);
+	if (outcome != FORWARD_DEFERRED)
+		g_hash_table_remove(world->deferred, &test_request->fingerprint);
 	else if (!first_us)
 		g_hash_table_insert(world->deferred,
-				    g_memdup2(&played->fingerprint, sizeof(fingerprint_t)),
+				    g_memdup2(&test_request->fingerprint, sizeof(fingerprint_t)),
 				    g_memdup2(&world->now_us, sizeof(uint64_t)));
-	else if (world->now_us > *first_us + DEFERRED_MOST_US && !played->crasher)
-		wrong(world, "%s is still put off after %u ms", played->id,
-		      (uint32_t)((world->now_us - *first_us) / 1000));
+	else if (world->now_us > *first_us + DEFERRED_MAX_US && !test_request->poison_request)
+		report_violation(world, "%s is still put off after %u ms", test_request->id,
+				 (uint32_t)((world->now_us - *first_us) / 1000));
 }
 
 static void on_answer(void *ctx, forward_t *forward, const forward_answer_t *answer)
 {
 	front_world_t *world = ctx;
-	played_t *played = forward->owner;
-
-	if (played->answered || played->left)
-		wrong(world, "%s is answered once more", played->id);
-	/* A VM that stands still can't answer; when it goes on it does so at once. */
-	if (world->now_us >
-	    played->sent_us + played->patience_us + world->still_us - played->still_us)
-		wrong(world, "%s is answered past its time", played->id);
-	played->answered = true;
-	played->forward = NULL;
-	tell_outcome(played, answer);
+	test_request_t *test_request = forward->owner;
+
+	if (test_request->answered || test_request->abandoned)
+		report_violation(world, "%s is answered once more", test_request->id);
+	/* A suspended VM can't answer in time; it must answer at once when it resumes. */
+	if (world->now_us > test_request->sent_us + test_request->patience_us +
+				    world->suspended_us - test_request->suspended_us)
+		report_violation(world, "%s is answered past its time", test_request->id);
+	test_request->answered = true;
+	test_request->forward = NULL;
+	record_outcome(test_request, answer);
 	if (answer->stamps)
-		check_stamps(world, played, answer);
-	check_deferred(world, played, answer->outcome);
-	played->said_not_run = says_not_run(answer->outcome);
-	if (answer->outcome == FORWARD_BLOCKED && !played->crasher)
-		wrong(world, "%s is refused, and crashes nobody", played->id);
-	if (played->said_not_run && was_run(world, played->id))
-		wrong(world, "%s was said not to have run, and had", played->id);
+		check_stamps(world, test_request, answer);
+	check_deferred(world, test_request, answer->outcome);
+	test_request->reported_not_run = outcome_means_not_run(answer->outcome);
+	if (answer->outcome == FORWARD_BLOCKED && !test_request->poison_request)
+		report_violation(world, "%s is refused, and crashes nobody", test_request->id);
+	if (test_request->reported_not_run && was_run(world, test_request->id))
+		report_violation(world, "%s was said not to have run, and had", test_request->id);
 }
 
-played_t *front_world_request(front_world_t *world, const char *route, uint64_t patience_us)
+test_request_t *front_world_request(front_world_t *world, const char *route, uint64_t patience_us)
 {
-	g_autofree char *path = g_strdup_printf("x%u", world->played->len);
+	g_autofree char *path = g_strdup_printf("x%u", world->test_requests->len);
 
 	return front_world_attempt(world, route, path, patience_us);
 }
@@ -429,10 +444,10 @@
 	return fingerprint_of(head, body);
 }
 
-played_t *front_world_attempt(front_world_t *world, const char *route, const char *path,
-			      uint64_t patience_us)
+test_request_t *front_world_attempt(front_world_t *world, const char *route, const char *path,
+				    uint64_t patience_us)
 {
-	played_t *played = g_new0(played_t, 1);
+	test_request_t *test_request = g_new0(test_request_t, 1);
 	g_autofree char *target = g_strdup_printf("/%s/%s", route, path);
 	forward_request_t request = {.host = "h",
 				     .target = target,
@@ -441,32 +456,32 @@
 				     .patience_us = patience_us};
 	forward_t *forward;
 
-	played->id = g_strdup_printf("r%u", world->played->len);
-	played->outcome = g_string_new("none");
-	played->sent_us = world->now_us;
-	played->patience_us = patience_us;
-	played->still_us = world->still_us;
-	played->crasher = crasher_of(world, path);
-	played->fingerprint = request.fingerprint;
-	played->route = routing_match(forwarder_routing(world->forwarder), "h", target);
-	g_ptr_array_add(world->played, played);
+	test_request->id = g_strdup_printf("r%u", world->test_requests->len);
+	test_request->outcome = g_string_new("none");
+	test_request->sent_us = world->now_us;
+	test_request->patience_us = patience_us;
+	test_request->suspended_us = world->suspended_us;
+	test_request->poison_request = poison_request_for(world, path);
+	test_request->fingerprint = request.fingerprint;
+	test_request->route = routing_match(forwarder_routing(world->forwarder), "h", target);
+	g_ptr_array_add(world->test_requests, test_request);
 	g_array_append_val(world->requests, world->now_us);
-	request.id = played->id;
-	forward = forwarder_submit(world->forwarder, &request, played, world->now_us);
-	if (!played->answered)
-		played->forward = forward;
-	stepped(world);
-	return played;
+	request.id = test_request->id;
+	forward = forwarder_submit(world->forwarder, &request, test_request, world->now_us);
+	if (!test_request->answered)
+		test_request->forward = forward;
+	notify_step(world);
+	return test_request;
 }
 
-void front_world_leave(front_world_t *world, played_t *played)
+void front_world_abandon(front_world_t *world, test_request_t *test_request)
 {
-	if (!played->forward)
+	if (!test_request->forward)
 		return;
-	played->left = true;
-	g_string_assign(played->outcome, "the caller left");
-	forwarder_abandon(world->forwarder, played->forward, world->now_us);
-	played->forward = NULL;
+	test_request->abandoned = true;
+	g_string_assign(test_request->outcome, "the caller left");
+	forwarder_abandon(world->forwarder, test_request->forward, world->now_us);
+	test_request->forward = NULL;
 }
 
 /* ---- time ---- */
@@ -475,8 +490,8 @@
 {
 	pending_t *first = NULL;
 
-	for (guint i = 0; i < world->out->len; i++) {
-		pending_t *pending = g_ptr_array_index(world->out, i);
+	for (guint i = 0; i < world->outstanding->len; i++) {
+		pending_t *pending = g_ptr_array_index(world->outstanding, i);
 
 		if (!first || pending->due_us < first->due_us)
 			first = pending;
@@ -489,22 +504,22 @@
 	uint64_t first_us = NEVER;
 
 	for (guint i = 0; i < world->fakes->len; i++) {
-		const fake_t *fake = g_ptr_array_index(world->fakes, i);
+		const fake_searcher_t *fake = g_ptr_array_index(world->fakes, i);
 
-		if (fake->back_us)
-			first_us = MIN(first_us, fake->back_us);
+		if (fake->restart_us)
+			first_us = MIN(first_us, fake->restart_us);
 	}
 	return first_us;
 }
 
-static void start_again(front_world_t *world)
+static void restart_terminated(front_world_t *world)
 {
 	for (guint i = 0; i < world->fakes->len; i++) {
-		fake_t *fake = g_ptr_array_index(world->fakes, i);
+		fake_searcher_t *fake = g_ptr_array_index(world->fakes, i);
 
-		if (!fake->back_us || fake->back_us > world->now_us)
+		if (!fake->restart_us || fake->restart_us > world->now_us)
 			continue;
-		fake->back_us = 0;
+		fake->restart_us = 0;
 		front_world_restart(world, fake);
 	}
 }
@@ -521,9 +536,9 @@
 		if (MIN(reply_us, timer_us) > until_us)
 			break;
 		world->now_us = MAX(world->now_us, MIN(reply_us, timer_us));
-		start_again(world);
+		restart_terminated(world);
 		if (reply_us <= timer_us)
-			arrive(world, pending);
+			finish_pending(world, pending);
 		else
 			forwarder_run(world->forwarder, world->now_us);
 		registry_run(world->registry, world->now_us);
@@ -531,20 +546,20 @@
 	world->now_us = MAX(world->now_us, until_us);
 }
 
-void front_world_pass(front_world_t *world, uint64_t us)
+void front_world_advance(front_world_t *world, uint64_t us)
 {
 	run_until(world, world->now_us + us);
 }
 
-void front_world_stand_still(front_world_t *world, uint64_t us)
+void front_world_suspend(front_world_t *world, uint64_t us)
 {
 	world->now_us += us;
-	world->still_us += us;
+	world->suspended_us += us;
 }
 
 /* ---- faults ---- */
 
-static void put(front_world_t *world, fake_t *fake, bool draining)
+static void register_entry(front_world_t *world, fake_searcher_t *fake, bool draining)
 {
 	const searcher_entry_t entry = {.id = fake->id,
 					.service = fake->service,
@@ -559,23 +574,23 @@
 	registry_find(world->registry, fake->id)->connections_max = 4;
 }
 
-void front_world_register(front_world_t *world, fake_t *fake)
+void front_world_register(front_world_t *world, fake_searcher_t *fake)
 {
-	put(world, fake, false);
+	register_entry(world, fake, false);
 }
 
-void front_world_drain(front_world_t *world, fake_t *fake)
+void front_world_drain(front_world_t *world, fake_searcher_t *fake)
 {
-	put(world, fake, true);
+	register_entry(world, fake, true);
 }
 
-void front_world_remove(front_world_t *world, const fake_t *fake)
+void front_world_remove(front_world_t *world, const fake_searcher_t *fake)
 {
 	registry_remove(world->registry, fake->id, 0, world->now_us);
 	registry_run(world->registry, world->now_us);
 }
 
-void front_world_restart(front_world_t *world, fake_t *fake)
+void front_world_restart(front_world_t *world, fake_searcher_t *fake)
 {
 	front_world_drain(world, fake);
 	front_world_remove(world, fake);
@@ -594,7 +609,8 @@
 	registry_set_evacuated(world->registry, near ? "here" : "there", evacuated, world->now_us);
 }
 
-void front_world_chill(front_world_t *world, fake_t *fake, uint64_t cold_us, uint32_t share)
+void front_world_set_cold(front_world_t *world, fake_searcher_t *fake, uint64_t cold_us,
+			  uint32_t share)
 {
 	searcher_t *searcher = registry_find(world->registry, fake->id);
 	const searcher_entry_t entry = {.id = fake->id,
@@ -613,13 +629,13 @@
 	fake->cold_share = share;
 	fake->cold_sent = 0;
 	searcher->cold_share = share;
-	/* What it was sent before it became cold does not count. */
+	/* Sub-requests that were sent before the searcher became cold do not count. */
 	searcher->cold_us = 0;
 	searcher->cold_next_us = 0;
 	registry_put(world->registry, &entry, world->now_us);
 }
 
-void front_world_restore(front_world_t *world, const fake_t *fake)
+void front_world_restore(front_world_t *world, const fake_searcher_t *fake)
 {
 	g_autofree char *former = g_strdup_printf("%s-%s-%u", fake->service,
 						  fake->near ? "near" : "far", fake->starts - 1);
@@ -636,30 +652,30 @@
 		registry_put(world->registry, &entry, world->now_us);
 }
 
-void front_world_behave(front_world_t *world, fake_t *fake, behaviour_t behaviour)
+void front_world_set_behaviour(front_world_t *world, fake_searcher_t *fake, behaviour_t behaviour)
 {
 	if (fake->behaviour == REPLACED && behaviour != REPLACED)
 		front_world_restart(world, fake);
 	fake->behaviour = behaviour;
-	for (guint i = 0; i < world->out->len; i++) {
-		pending_t *pending = g_ptr_array_index(world->out, i);
+	for (guint i = 0; i < world->outstanding->len; i++) {
+		pending_t *pending = g_ptr_array_index(world->outstanding, i);
 
 		if (pending->fake != fake)
 			continue;
-		if (behaviour == HANGS && !pending->crasher)
+		if (behaviour == HANGS && !pending->poison_request)
 			pending->due_us = NEVER;
-		if (behaviour != LOST && behaviour != CUTS)
+		if (behaviour != TERMINATED && behaviour != DISCONNECTS)
 			continue;
-		pending->end = SUB_UNKNOWN;
+		pending->outcome = SUB_UNKNOWN;
 		pending->broken = true;
-		pending->due_us = world->now_us + WAY_US;
+		pending->due_us = world->now_us + NETWORK_DELAY_US;
 	}
 }
 
-void front_world_crash(front_world_t *world, fake_t *fake, uint64_t back_us)
+void front_world_crash(front_world_t *world, fake_searcher_t *fake, uint64_t restart_us)
 {
-	front_world_behave(world, fake, LOST);
-	fake->back_us = world->now_us + back_us;
+	front_world_set_behaviour(world, fake, TERMINATED);
+	fake->restart_us = world->now_us + restart_us;
 }
 
 static void on_changed(void *ctx, searcher_t *searcher)
@@ -724,7 +740,7 @@
 
 static void fake_free(void *data)
 {
-	fake_t *fake = data;
+	fake_searcher_t *fake = data;
 
 	g_free(fake->id);
 	g_free(fake->service);
@@ -733,7 +749,7 @@
 
 static void add_fake(front_world_t *world, const char *service, bool near)
 {
-	fake_t *fake = g_new0(fake_t, 1);
+	fake_searcher_t *fake = g_new0(fake_searcher_t, 1);
 
 	fake->id = g_strdup_printf("%s-%s", service, near ? "near" : "far");
 	fake->service = g_strdup(service);
@@ -742,36 +758,36 @@
 	front_world_register(world, fake);
 }
 
-static void played_free(void *data)
+static void test_request_free(void *data)
 {
-	played_t *played = data;
+	test_request_t *test_request = data;
 
-	g_free(played->id);
-	g_string_free(played->outcome, TRUE);
-	g_free(played);
+	g_free(test_request->id);
+	g_string_free(test_request->outcome, TRUE);
+	g_free(test_request);
 }
 
-static void on_poison_tell(void *ctx, const poison_update_t *news)
+static void on_poison_publish(void *ctx, const poison_update_t *update)
 {
 	front_world_t *world = ctx;
 
-	if (world->stores)
-		world->stores(world->ctx, world, news);
+	if (world->publish)
+		world->publish(world->ctx, world, update);
 }
 
-static void on_poison_forget(void *ctx, fingerprint_t fingerprint)
+static void on_poison_remove(void *ctx, fingerprint_t fingerprint)
 {
-	const poison_update_t news = {.fingerprint = fingerprint};
+	const poison_update_t update = {.fingerprint = fingerprint};
 
-	on_poison_tell(ctx, &news);
+	on_poison_publish(ctx, &update);
 }
 
 static void on_poison_claim(void *ctx, fingerprint_t fingerprint, uint32_t number)
 {
 	front_world_t *world = ctx;
 
-	if (world->claims)
-		world->claims(world->ctx, world, fingerprint, number);
+	if (world->claim)
+		world->claim(world->ctx, world, fingerprint, number);
 	else
 		poison_claim_done(forwarder_poison(world->forwarder), fingerprint, number,
 				  CLAIM_GRANTED, world->now_us);
@@ -781,30 +797,31 @@
 {
 	front_world_t *world = ctx;
 
-	if (world->drops_claims)
-		world->drops_claims(world->ctx, world, fingerprint, number);
+	if (world->drop_claims)
+		world->drop_claims(world->ctx, world, fingerprint, number);
 }
 
-static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *update, const char *what)
 {
 	front_world_t *world = ctx;
 
 	if (g_str_equal(what, "cleared") || g_str_equal(what, "released"))
-		g_hash_table_remove(world->deferred, &news->fingerprint);
+		g_hash_table_remove(world->deferred, &update->fingerprint);
 }
 
 front_world_t *front_world_new(uint32_t seed)
 {
 	static const registry_ops_t registry_ops = {.changed = on_changed};
-	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
-						.remove = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_publish,
+						.remove = on_poison_remove,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims};
 	static const forwarder_ops_t ops = {
 		.send = on_send, .cancel = on_cancel, .answer = on_answer, .poison = &poison_ops};
 	static const char *const services[] = {"a", "b", "c", "s"};
-	const retry_bound_t bound = {.ratio = RATIO, .window_us = WINDOW_US, .constant = CONSTANT};
+	const retry_bound_t bound = {
+		.ratio = EXTRA_RATIO, .window_us = EXTRA_WINDOW_US, .constant = EXTRA_CONSTANT};
 	front_world_t *world = g_new0(front_world_t, 1);
 	g_autoptr(GHashTable) regions = g_hash_table_new(g_str_hash, g_str_equal);
 	const locality_t place = {.data_centre = "here", .regions = regions};
@@ -813,15 +830,16 @@
 	g_hash_table_insert(regions, "there", "two");
 	world->now_us = 1000000000;
 	world->rand = g_rand_new_with_seed(seed);
-	world->wrong = g_string_new(NULL);
+	world->violations = g_string_new(NULL);
 	world->fakes = g_ptr_array_new_with_free_func(fake_free);
-	world->played = g_ptr_array_new_with_free_func(played_free);
-	world->out = g_ptr_array_new_with_free_func(pending_free);
-	world->crashers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, crasher_free);
+	world->test_requests = g_ptr_array_new_with_free_func(test_request_free);
+	world->outstanding = g_ptr_array_new_with_free_func(pending_free);
+	world->poison_requests =
+		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, poison_request_free);
 	world->deferred = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	world->runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	world->firsts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	world->extras = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	world->first_sends = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	world->extra_sends = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	world->requests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	world->registry = registry_new(&place, &bound, &registry_ops, world);
 	registry_list_begin(world->registry);
@@ -837,33 +855,33 @@
 
 void front_world_check_end(front_world_t *world)
 {
-	for (guint i = 0; i < world->played->len; i++) {
-		const played_t *played = g_ptr_array_index(world->played, i);
+	for (guint i = 0; i < world->test_requests->len; i++) {
+		const test_request_t *test_request = g_ptr_array_index(world->test_requests, i);
 
-		if (!played->answered && !played->left)
-			wrong(world, "%s has no answer", played->id);
+		if (!test_request->answered && !test_request->abandoned)
+			report_violation(world, "%s has no answer", test_request->id);
 	}
 	if (forwarder_open_requests(world->forwarder))
-		wrong(world, "%u requests are still open",
-		      forwarder_open_requests(world->forwarder));
-	if (world->out->len)
-		wrong(world, "%u sub-requests are still out", world->out->len);
+		report_violation(world, "%u requests are still open",
+				 forwarder_open_requests(world->forwarder));
+	if (world->outstanding->len)
+		report_violation(world, "%u sub-requests are still out", world->outstanding->len);
 }
 
 void front_world_free(front_world_t *world)
 {
 	forwarder_free(world->forwarder);
 	registry_free(world->registry);
-	g_ptr_array_unref(world->out);
-	g_ptr_array_unref(world->played);
+	g_ptr_array_unref(world->outstanding);
+	g_ptr_array_unref(world->test_requests);
 	g_ptr_array_unref(world->fakes);
-	g_hash_table_unref(world->crashers);
+	g_hash_table_unref(world->poison_requests);
 	g_hash_table_unref(world->deferred);
 	g_hash_table_unref(world->runs);
-	g_hash_table_unref(world->firsts);
-	g_array_unref(world->extras);
+	g_hash_table_unref(world->first_sends);
+	g_array_unref(world->extra_sends);
 	g_array_unref(world->requests);
 	g_rand_free(world->rand);
-	g_string_free(world->wrong, TRUE);
+	g_string_free(world->violations, TRUE);
 	g_free(world);
 }
