--- a/standins/users_platform.c
+++ b/standins/users_platform.c
@@ -491,7 +491,7 @@
 	searcher_t *searcher = job->searcher;
 	http_exchange_t *exchange = job->exchange;
 	g_autoptr(GString) body = g_string_new(NULL);
-	g_autofree char *stamp = NULL;
+	g_autofree char *signature = NULL;
 	const char *id;
 
 	if (exchange && is_crashed_by(searcher, exchange)) {
@@ -504,12 +504,12 @@
 	}
 	if (exchange) {
 		id = http_exchange_header(exchange, "Dogwoodsaddle-Request-Id");
-		stamp = g_strdup_printf("%s.%s", searcher->id, id ? id : "");
+		signature = g_strdup_printf("%s.%s", searcher->id, id ? id : "");
 		write_records(searcher, body);
 		http_exchange_set_data(exchange, NULL);
 		http_exchange_add_header(exchange, "Dogwoodsaddle-Request-Id",
 					 searcher->mode == SEARCHER_MODE_FOREIGN ? "other" : id);
-		http_exchange_add_header(exchange, "Dogwoodsaddle-Response-Signature", stamp);
+		http_exchange_add_header(exchange, "Dogwoodsaddle-Response-Signature", signature);
 		http_exchange_add_header(exchange, "Dogwoodsaddle-Server-Load", "1,0,2,100");
 		http_exchange_reply(exchange, searcher->mode == SEARCHER_MODE_FAIL ? 500 : 200,
 				    NULL, body->str, body->len);
