--- a/src/queries/front_log.c
+++ b/src/queries/front_log.c
@@ -6,8 +6,8 @@
 
 #include "net/loop.h"
 
-/* Parts of an answer whose loss its line tells. */
-#define MISSING_TOLD 4
+/* Limits how many of an answer's missing parts its log line lists. */
+#define MISSING_PARTS_LOGGED 4
 
 static void append_fingerprint(GString *line, fingerprint_t fingerprint)
 {
@@ -17,7 +17,7 @@
 	g_string_append_printf(line, " fingerprint=%s", text);
 }
 
-static void append_asked(GString *line, const part_t *part)
+static void append_tried_searchers(GString *line, const part_t *part)
 {
 	if (!part->tried || !part->tried->len)
 		g_string_append(line, "nobody");
@@ -26,8 +26,8 @@
 				       ((searcher_t *)g_ptr_array_index(part->tried, i))->id);
 }
 
-/* Searchers that the part could have been sent to, but for its route's regions, an evacuation or a
- * cold rest. */
+/* Counts the searchers that could have taken the part, but were excluded by the route's regions, by
+ * an evacuation or by the rate limit on cold searchers. */
 static void append_passed_over(GString *line, const part_t *part)
 {
 	const passed_over_t passed = forward_passed_over(part, loop_now_us());
@@ -38,20 +38,20 @@
 				       passed.cold);
 }
 
-/* What became of the parts that are missing; the first few tell the cause. */
+/* Appends the outcome of the missing parts; the first few are enough to show the cause. */
 static void append_missing(GString *line, const forward_t *forward)
 {
-	uint32_t told = 0;
+	uint32_t logged = 0;
 
-	for (uint32_t i = 0; i < forward->part_count && told < MISSING_TOLD; i++) {
+	for (uint32_t i = 0; i < forward->part_count && logged < MISSING_PARTS_LOGGED; i++) {
 		const part_t *part = &forward->parts[i];
 
 		if (part->state == PART_ANSWERED)
 			continue;
-		told++;
+		logged++;
 		g_string_append_printf(line, " lost=%s:%s:", part->pool->service,
 				       part_state_name(part->state));
-		append_asked(line, part);
+		append_tried_searchers(line, part);
 		g_string_append_printf(line, ":%s",
 				       part->reply  ? sub_outcome_name(part->reply->outcome)
 				       : part->shed ? "shard-short"
@@ -63,7 +63,7 @@
 void front_log_answer(const char *id, const forward_t *forward, const forward_answer_t *answer,
 		      int status, uint64_t store_age_us)
 {
-	bool whole = answer->outcome == FORWARD_ANSWERED && !answer->missing;
+	bool complete = answer->outcome == FORWARD_ANSWERED && !answer->missing;
 	g_autoptr(GString) line = g_string_sized_new(256);
 	uint64_t took_us = loop_now_us() - forward->request.received_us;
 
@@ -77,15 +77,15 @@
 		forward->request.patience_us, answer->parts, answer->missing,
 		forward->routing ? forward->routing->version : 0, store_age_us);
 	append_fingerprint(line, forward->request.fingerprint);
-	if (!whole)
+	if (!complete)
 		append_missing(line, forward);
-	g_log(NULL, whole ? G_LOG_LEVEL_INFO : G_LOG_LEVEL_MESSAGE, "%s", line->str);
+	g_log(NULL, complete ? G_LOG_LEVEL_INFO : G_LOG_LEVEL_MESSAGE, "%s", line->str);
 }
 
 void front_log_gathered(const forward_request_t *request, const handover_t *handover,
 			const forward_answer_t *answer, uint64_t store_age_us)
 {
-	bool whole = answer->outcome == FORWARD_ANSWERED && !answer->missing;
+	bool complete = answer->outcome == FORWARD_ANSWERED && !answer->missing;
 	g_autoptr(GString) line = g_string_sized_new(256);
 	uint64_t now_us = loop_now_us();
 
@@ -100,10 +100,11 @@
 		handover->gatherer ? handover->gatherer->vm->name : "nobody", handover->tried->len,
 		handover->accepted, now_us - handover->begun_us, store_age_us);
 	append_fingerprint(line, request->fingerprint);
-	g_log(NULL, whole ? G_LOG_LEVEL_INFO : G_LOG_LEVEL_MESSAGE, "%s", line->str);
+	g_log(NULL, complete ? G_LOG_LEVEL_INFO : G_LOG_LEVEL_MESSAGE, "%s", line->str);
 }
 
-/* What the searcher told before this reply, and how long before. */
+/* Appends the load that the searcher last reported before this reply, and the age of that report.
+ */
 static void append_load(GString *line, const reported_load_t *load)
 {
 	if (load->at_us)
@@ -115,7 +116,7 @@
 				       reported_load_age_us(load, loop_now_us()));
 }
 
-void front_log_sub(const subrequest_t *sub, const sub_reply_t *reply)
+void front_log_subrequest(const subrequest_t *sub, const sub_reply_t *reply)
 {
 	bool failed = reply->outcome != SUB_ANSWERED;
 	g_autoptr(GString) line = NULL;
--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -4,8 +4,8 @@
  */
 #include "queries/front_metrics.h"
 
-static void put(GString *out, const char *name, const char *label, const char *value,
-		uint64_t count)
+static void put_metric(GString *out, const char *name, const char *label, const char *value,
+		       uint64_t count)
 {
 	if (label)
 		g_string_append_printf(out, "dogwoodsaddle_%s{%s=\"%s\"} %" G_GUINT64_FORMAT "\n",
@@ -19,61 +19,64 @@
 {
 	const forwarder_counters_t *counters = forwarder_counters(forwarder);
 
-	put(out, "requests_total", NULL, NULL, counters->requests);
-	for (int end = 0; end < FORWARD_OUTCOMES; end++)
-		put(out, "answers_total", "outcome", forward_outcome_name((forward_outcome_t)end),
-		    counters->outcomes[end]);
-	put(out, "answers_partial_total", NULL, NULL, counters->partial);
-	put(out, "callers_left_total", NULL, NULL, counters->callers_left);
-	put(out, "requests_open", NULL, NULL, forwarder_open_requests(forwarder));
-	put(out, "sub_requests_total", "purpose", "first", counters->firsts);
-	put(out, "sub_requests_total", "purpose", "hedge", counters->hedges);
-	put(out, "sub_requests_total", "purpose", "retry", counters->retries);
-	put(out, "parts_waited_total", NULL, NULL, counters->waited);
-	put(out, "parts_shed_total", NULL, NULL, counters->shed);
-	put(out, "loads_told_total", NULL, NULL, counters->loads_reported);
-	put(out, "loads_malformed_total", NULL, NULL, counters->loads_malformed);
-	for (int end = 0; end <= SUB_UNKNOWN; end++)
-		put(out, "sub_replies_total", "outcome", sub_outcome_name((sub_outcome_t)end),
-		    counters->sub_outcomes[end]);
+	put_metric(out, "requests_total", NULL, NULL, counters->requests);
+	for (int outcome = 0; outcome < FORWARD_OUTCOMES; outcome++)
+		put_metric(out, "answers_total", "outcome",
+			   forward_outcome_name((forward_outcome_t)outcome),
+			   counters->outcomes[outcome]);
+	put_metric(out, "answers_partial_total", NULL, NULL, counters->partial);
+	put_metric(out, "callers_left_total", NULL, NULL, counters->callers_left);
+	put_metric(out, "requests_open", NULL, NULL, forwarder_open_requests(forwarder));
+	put_metric(out, "sub_requests_total", "purpose", "first", counters->firsts);
+	put_metric(out, "sub_requests_total", "purpose", "hedge", counters->hedges);
+	put_metric(out, "sub_requests_total", "purpose", "retry", counters->retries);
+	put_metric(out, "parts_waited_total", NULL, NULL, counters->waited);
+	put_metric(out, "parts_shed_total", NULL, NULL, counters->shed);
+	put_metric(out, "loads_told_total", NULL, NULL, counters->loads_reported);
+	put_metric(out, "loads_malformed_total", NULL, NULL, counters->loads_malformed);
+	for (int outcome = 0; outcome <= SUB_UNKNOWN; outcome++)
+		put_metric(out, "sub_replies_total", "outcome",
+			   sub_outcome_name((sub_outcome_t)outcome),
+			   counters->sub_outcomes[outcome]);
 }
 
 static void put_poison(GString *out, const poison_t *poison)
 {
 	const poison_counters_t *counters = poison_counters(poison);
 
-	put(out, "poison_requests", "state", "remembered", poison_records(poison));
-	put(out, "poison_requests", "state", "refused", poison_blocked(poison, loop_now_us()));
-	put(out, "poison_strikes_total", NULL, NULL, counters->strikes);
-	put(out, "poison_cleared_total", NULL, NULL, counters->cleared);
-	put(out, "poison_claims_total", NULL, NULL, counters->claims);
-	put(out, "poison_trials_total", NULL, NULL, counters->trials);
-	put(out, "poison_told_total", NULL, NULL, counters->published);
-	put(out, "poison_dropped_total", NULL, NULL, counters->dropped);
+	put_metric(out, "poison_requests", "state", "remembered", poison_records(poison));
+	put_metric(out, "poison_requests", "state", "refused",
+		   poison_blocked(poison, loop_now_us()));
+	put_metric(out, "poison_strikes_total", NULL, NULL, counters->strikes);
+	put_metric(out, "poison_cleared_total", NULL, NULL, counters->cleared);
+	put_metric(out, "poison_claims_total", NULL, NULL, counters->claims);
+	put_metric(out, "poison_trials_total", NULL, NULL, counters->trials);
+	put_metric(out, "poison_told_total", NULL, NULL, counters->published);
+	put_metric(out, "poison_dropped_total", NULL, NULL, counters->dropped);
 }
 
 static void put_links(GString *out, const link_counters_t *links)
 {
-	put(out, "connections_opened_total", NULL, NULL, links->opened);
-	put(out, "connections_ended_total", "reason", "refused", links->refused);
-	put(out, "connections_ended_total", "reason", "reset", links->reset);
-	put(out, "connections_ended_total", "reason", "garbage", links->garbage);
-	put(out, "connections_ended_total", "reason", "cancelled", links->cancelled);
-	put(out, "connections_ended_total", "reason", "foreign", links->foreign);
+	put_metric(out, "connections_opened_total", NULL, NULL, links->opened);
+	put_metric(out, "connections_ended_total", "reason", "refused", links->refused);
+	put_metric(out, "connections_ended_total", "reason", "reset", links->reset);
+	put_metric(out, "connections_ended_total", "reason", "garbage", links->garbage);
+	put_metric(out, "connections_ended_total", "reason", "cancelled", links->cancelled);
+	put_metric(out, "connections_ended_total", "reason", "foreign", links->foreign);
 }
 
-/* Prometheus counts within each bound what lies below it, too. */
+/* Prometheus histograms are cumulative: each bucket includes the counts of all lower buckets. */
 static void put_latency(GString *out, const char *name, const char *label, const char *value,
 			const latency_buckets_t *latency)
 {
-	uint64_t below = 0;
+	uint64_t cumulative = 0;
 
 	for (uint32_t i = 0; i < LATENCY_BOUNDS; i++) {
-		below += latency->counts[i];
+		cumulative += latency->counts[i];
 		g_string_append_printf(out,
 				       "dogwoodsaddle_%s_bucket{%s=\"%s\",le=\"%" G_GUINT64_FORMAT
 				       "\"} %" G_GUINT64_FORMAT "\n",
-				       name, label, value, latency_bounds_us[i], below);
+				       name, label, value, latency_bounds_us[i], cumulative);
 	}
 	g_string_append_printf(out,
 			       "dogwoodsaddle_%s_bucket{%s=\"%s\",le=\"+Inf\"} %" G_GUINT64_FORMAT
@@ -93,7 +96,7 @@
 	if (!pool->latency.count)
 		return;
 	put_latency(out, "sub_reply_latency_us", "service", pool->service, &pool->latency);
-	put(out, "parts_waiting", "service", pool->service, pool->waiting.length);
+	put_metric(out, "parts_waiting", "service", pool->service, pool->waiting.length);
 }
 
 static void put_services(GString *out, const registry_t *registry)
@@ -108,28 +111,28 @@
 
 static void put_store(GString *out, const supply_task_t *supply, const platform_counters_t *store)
 {
-	put(out, "store_is_fed", NULL, NULL, supply_task_is_fed(supply));
-	put(out, "store_age_us", NULL, NULL, supply_task_age_us(supply));
+	put_metric(out, "store_is_fed", NULL, NULL, supply_task_is_fed(supply));
+	put_metric(out, "store_age_us", NULL, NULL, supply_task_age_us(supply));
 	for (uint32_t kind = 0; kind < supply_task_kinds(supply); kind++)
-		put(out, "store_kind_age_us", "kind", store_kind_name((store_kind_t)kind),
-		    supply_task_kind_age_us(supply, (store_kind_t)kind));
-	put(out, "store_calls_total", "kind", "read", store->fetches);
-	put(out, "store_calls_total", "kind", "write", store->writes);
+		put_metric(out, "store_kind_age_us", "kind", store_kind_name((store_kind_t)kind),
+			   supply_task_kind_age_us(supply, (store_kind_t)kind));
+	put_metric(out, "store_calls_total", "kind", "read", store->fetches);
+	put_metric(out, "store_calls_total", "kind", "write", store->writes);
 	for (int reach = PLATFORM_REPLIED + 1; reach < PLATFORM_REACHES; reach++)
-		put(out, "store_calls_failed_total", "reason",
-		    platform_reach_name((platform_reach_t)reach), store->reached[reach]);
-	put(out, "store_calls_unanswered_total", NULL, NULL, store->unknown);
-	put(out, "store_values_damaged_total", NULL, NULL, store->damaged);
-	put(out, "store_era", NULL, NULL, supply_task_era(supply));
-	put(out, "store_replies_outdated_total", NULL, NULL, store->outdated);
-	put(out, "store_eras_malformed_total", NULL, NULL, store->eras_malformed);
+		put_metric(out, "store_calls_failed_total", "reason",
+			   platform_reach_name((platform_reach_t)reach), store->reached[reach]);
+	put_metric(out, "store_calls_unanswered_total", NULL, NULL, store->unknown);
+	put_metric(out, "store_values_damaged_total", NULL, NULL, store->damaged);
+	put_metric(out, "store_era", NULL, NULL, supply_task_era(supply));
+	put_metric(out, "store_replies_outdated_total", NULL, NULL, store->outdated);
+	put_metric(out, "store_eras_malformed_total", NULL, NULL, store->eras_malformed);
 }
 
 static void put_gatherers(GString *out, const handovers_t *handovers)
 {
 	const GPtrArray *gatherers = handovers_gatherers(handovers);
 
-	put(out, "gatherers", NULL, NULL, gatherers->len);
+	put_metric(out, "gatherers", NULL, NULL, gatherers->len);
 	for (guint i = 0; i < gatherers->len; i++) {
 		const gatherer_t *gatherer = g_ptr_array_index(gatherers, i);
 
@@ -141,42 +144,44 @@
 	}
 }
 
-static void put_handovers(GString *out, const handovers_t *handovers, uint32_t hops_open)
+static void put_handovers(GString *out, const handovers_t *handovers, uint32_t gathers_for_others)
 {
 	const handover_counters_t *counters = handovers_counters(handovers);
 
 	put_gatherers(out, handovers);
-	put(out, "handovers_total", NULL, NULL, counters->begun);
-	put(out, "handover_ends_total", "outcome", "answered", counters->answered);
-	put(out, "handover_ends_total", "outcome", "gathered-here", counters->gathered_here);
-	put(out, "handover_ends_unknown_total", NULL, NULL, counters->outcome_unknown);
-	put(out, "handovers_again_total", NULL, NULL, counters->retried);
-	put(out, "gatherers_silent_total", NULL, NULL, counters->unresponsive);
+	put_metric(out, "handovers_total", NULL, NULL, counters->begun);
+	put_metric(out, "handover_ends_total", "outcome", "answered", counters->answered);
+	put_metric(out, "handover_ends_total", "outcome", "gathered-here", counters->gathered_here);
+	put_metric(out, "handover_ends_unknown_total", NULL, NULL, counters->outcome_unknown);
+	put_metric(out, "handovers_again_total", NULL, NULL, counters->retried);
+	put_metric(out, "gatherers_silent_total", NULL, NULL, counters->unresponsive);
 	for (int reason = 0; reason < HOP_REASONS; reason++)
-		put(out, "handovers_not_taken_total", "reason",
-		    hop_reason_name((hop_reason_t)reason), counters->rejected[reason]);
-	put(out, "gathers_for_others", NULL, NULL, hops_open);
+		put_metric(out, "handovers_not_taken_total", "reason",
+			   hop_reason_name((hop_reason_t)reason), counters->rejected[reason]);
+	put_metric(out, "gathers_for_others", NULL, NULL, gathers_for_others);
 }
 
-GString *front_metrics_write(const front_sources_t *sources)
+GString *front_metrics_write(const front_metrics_sources_t *sources)
 {
 	GString *out = g_string_sized_new(4096);
 	const routing_t *routing = forwarder_routing(sources->forwarder);
 
-	put(out, "configuration_version", NULL, NULL, routing ? routing->version : 0);
-	put(out, "configurations_ignored_total", NULL, NULL,
-	    sources->reader.configurations_ignored);
-	put(out, "evacuations", NULL, NULL, sources->reader.evacuations);
-	put(out, "evacuations_ignored_total", NULL, NULL, sources->reader.evacuations_ignored);
-	put(out, "regions_unknown", NULL, NULL, sources->reader.regions_strange);
-	put(out, "searchers", NULL, NULL,
-	    g_hash_table_size(registry_searchers((registry_t *)sources->registry)));
-	put(out, "searcher_entries_ignored_total", NULL, NULL, sources->reader.entries_ignored);
-	put(out, "vms", NULL, NULL, supply_task_vms(sources->supply)->len);
+	put_metric(out, "configuration_version", NULL, NULL, routing ? routing->version : 0);
+	put_metric(out, "configurations_ignored_total", NULL, NULL,
+		   sources->reader.configurations_ignored);
+	put_metric(out, "evacuations", NULL, NULL, sources->reader.evacuations);
+	put_metric(out, "evacuations_ignored_total", NULL, NULL,
+		   sources->reader.evacuations_ignored);
+	put_metric(out, "regions_unknown", NULL, NULL, sources->reader.regions_strange);
+	put_metric(out, "searchers", NULL, NULL,
+		   g_hash_table_size(registry_searchers((registry_t *)sources->registry)));
+	put_metric(out, "searcher_entries_ignored_total", NULL, NULL,
+		   sources->reader.entries_ignored);
+	put_metric(out, "vms", NULL, NULL, supply_task_vms(sources->supply)->len);
 	put_store(out, sources->supply, sources->store);
 	put_requests(out, sources->forwarder);
 	put_poison(out, forwarder_poison(sources->forwarder));
-	put_handovers(out, sources->handovers, sources->hops_open);
+	put_handovers(out, sources->handovers, sources->gathers_for_others);
 	put_links(out, sources->links);
 	forwarder_visit_latency(sources->forwarder, put_route_latency, out);
 	put_services(out, sources->registry);
--- a/src/queries/front_metrics.h
+++ b/src/queries/front_metrics.h
@@ -1,6 +1,6 @@
 /**
  * @file front_metrics.h
- * Metrics of a VM that forwards by routes, as Prometheus text.
+ * Metrics of a VM in forwarding mode, as Prometheus text.
  */
 #ifndef DS_FRONT_METRICS_H
 #define DS_FRONT_METRICS_H
@@ -12,18 +12,20 @@
 #include "tasks/store_reader.h"
 #include "tasks/supply_task.h"
 
-/** Where the figures come from; borrowed for the call. */
-typedef struct front_sources_t {
+/** The modules whose counters are written; borrowed for the call. */
+typedef struct front_metrics_sources_t {
 	const forwarder_t *forwarder;
 	const registry_t *registry;
 	const link_counters_t *links;
 	const supply_task_t *supply;
 	const platform_counters_t *store;
 	const handovers_t *handovers;
-	uint32_t hops_open; /**< requests that other VMs have handed over */
+	uint32_t
+		gathers_for_others; /**< open requests that other VMs have handed over to this VM */
 	store_reader_counters_t reader;
-} front_sources_t;
+} front_metrics_sources_t;
 
-GString *front_metrics_write(const front_sources_t *sources);
+/** @return text that the caller frees */
+GString *front_metrics_write(const front_metrics_sources_t *sources);
 
 #endif
--- a/src/queries/problem.h
+++ b/src/queries/problem.h
@@ -1,6 +1,6 @@
 /**
  * @file problem.h
- * A refusal as a problem+json document.
+ * Formats a refusal as a problem+json document.
  */
 #ifndef DS_PROBLEM_H
 #define DS_PROBLEM_H
@@ -13,8 +13,8 @@
 
 /**
  * @param detail what is wrong with this request, or NULL
- * @param retry_after_us when to come back; 0 for nothing said
- * @return text for the caller to g_free()
+ * @param retry_after_us retry delay; 0 leaves it out
+ * @return text that the caller frees with g_free()
  */
 char *problem_format(refusal_t refusal, const char *detail, const char *request_id,
 		     uint64_t retry_after_us);
--- a/src/queries/search.c
+++ b/src/queries/search.c
@@ -1,13 +1,13 @@
 /**
  * @file search.c
- * See search.h. docs/API.md shows the documents.
+ * See search.h. docs/API.md shows the JSON documents.
  */
 #include "queries/search.h"
 
 #include <stdlib.h>
 
-#define TEXT_LIMIT 256
-#define LIMIT_MOST 100000
+#define TEXT_MAX_BYTES 256
+#define LIMIT_MAX 100000
 
 static bool parse_fields(const json_t *body, request_t *request, err_t *err)
 {
@@ -16,18 +16,18 @@
 
 	json_object_foreach ((json_t *)body, key, value) {
 		if (g_str_equal(key, "text")) {
-			if (!json_is_string(value) || json_string_length(value) > TEXT_LIMIT)
+			if (!json_is_string(value) || json_string_length(value) > TEXT_MAX_BYTES)
 				return err_set(err, ERR_VALUE,
 					       "text: must be a string of at most %d bytes",
-					       TEXT_LIMIT);
+					       TEXT_MAX_BYTES);
 			request->text = g_strdup(json_string_value(value));
 		} else if (g_str_equal(key, "limit")) {
 			json_int_t limit = json_integer_value(value);
 
-			if (!json_is_integer(value) || limit < 1 || limit > LIMIT_MOST)
+			if (!json_is_integer(value) || limit < 1 || limit > LIMIT_MAX)
 				return err_set(err, ERR_VALUE,
 					       "limit: must be a whole number from 1 to %d",
-					       LIMIT_MOST);
+					       LIMIT_MAX);
 			request->limit = (uint32_t)limit;
 		} else {
 			return err_set(err, ERR_VALUE,
@@ -41,17 +41,17 @@
 {
 	json_error_t where;
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, &where);
-	bool good;
+	bool valid;
 
 	if (!parsed)
 		return err_set(err, ERR_SYNTAX, "the body is not JSON: line %d column %d: %.100s",
 			       where.line, where.column, where.text);
 	if (!json_is_object(parsed))
-		good = err_set(err, ERR_VALUE, "the body must be a JSON object");
+		valid = err_set(err, ERR_VALUE, "the body must be a JSON object");
 	else
-		good = parse_fields(parsed, request, err);
+		valid = parse_fields(parsed, request, err);
 	json_decref(parsed);
-	return good;
+	return valid;
 }
 
 static json_t *missing_json(const answer_t *answer)
@@ -64,7 +64,7 @@
 	return list;
 }
 
-static json_t *limited(const json_t *records, uint32_t limit)
+static json_t *first_records(const json_t *records, uint32_t limit)
 {
 	json_t *list = json_array();
 	size_t i;
@@ -102,7 +102,7 @@
 
 	json_object_set_new(body, "found",
 			    json_integer((json_int_t)json_array_size(answer->records)));
-	json_object_set_new(body, "records", limited(answer->records, query->request->limit));
+	json_object_set_new(body, "records", first_records(answer->records, query->request->limit));
 	return dump_and_free(body);
 }
 
@@ -125,7 +125,7 @@
 	return g_string_free(list, FALSE);
 }
 
-char *search_sub_path(const attempt_t *attempt, uint64_t now_us)
+char *search_subrequest_path(const attempt_t *attempt, uint64_t now_us)
 {
 	const query_t *query = attempt->query;
 	const request_t *request = query->request;
--- a/src/queries/search.h
+++ b/src/queries/search.h
@@ -1,6 +1,6 @@
 /**
  * @file search.h
- * Callers' queries: a search over all partitions and the look-up of one record.
+ * Reads and answers callers' queries: a search over all partitions, or the look-up of one record.
  */
 #ifndef DS_SEARCH_H
 #define DS_SEARCH_H
@@ -9,13 +9,13 @@
 
 #include <glib.h>
 
-/** Read a search's JSON body into @p request. */
+/** Parse the JSON body of a search into @p request. */
 bool search_parse(const GString *body, request_t *request, err_t *err);
-/** The answer as JSON, for the caller to g_free(). */
+/** @return the answer to a search as JSON, which the caller frees with g_free() */
 char *search_format(const query_t *query, const answer_t *answer);
-/** The answer to a look-up. */
+/** @return the answer to a look-up as JSON, which the caller frees with g_free() */
 char *record_format(const query_t *query, const answer_t *answer);
-/** The path of an attempt's sub-request at a searcher, for the caller to g_free(). */
-char *search_sub_path(const attempt_t *attempt, uint64_t now_us);
+/** @return the path of an attempt's sub-request, which the caller frees with g_free() */
+char *search_subrequest_path(const attempt_t *attempt, uint64_t now_us);
 
 #endif
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -188,7 +188,7 @@
 {
 	front_task_t *task = ctx;
 
-	front_log_sub(sub, reply);
+	front_log_subrequest(sub, reply);
 	forwarder_subrequest_ended(task->forwarder, sub, reply, loop_now_us());
 	arm_forwarder(task);
 }
@@ -599,14 +599,14 @@
 static void on_metrics_request(void *ctx, http_exchange_t *exchange)
 {
 	front_task_t *task = ctx;
-	const front_sources_t sources = {.forwarder = task->forwarder,
-					 .registry = task->registry,
-					 .links = link_task_counters(task->links),
-					 .supply = task->supply,
-					 .store = platform_task_counters(task->platform),
-					 .handovers = gather_task_handovers(task->gathers),
-					 .hops_open = hop_server_open(task->hops),
-					 .reader = store_reader_counters(task->reader)};
+	const front_metrics_sources_t sources = {.forwarder = task->forwarder,
+						 .registry = task->registry,
+						 .links = link_task_counters(task->links),
+						 .supply = task->supply,
+						 .store = platform_task_counters(task->platform),
+						 .handovers = gather_task_handovers(task->gathers),
+						 .gathers_for_others = hop_server_open(task->hops),
+						 .reader = store_reader_counters(task->reader)};
 	g_autoptr(GString) text = front_metrics_write(&sources);
 
 	http_exchange_reply(exchange, 200, "text/plain; version=0.0.4", text->str, text->len);
