--- a/src/commands/action.c
+++ b/src/commands/action.c
@@ -8,11 +8,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_LEAST 16
-#define KEY_MOST 128
+#define KEY_MIN_BYTES 16
+#define KEY_MAX_BYTES 128
 
-/* Whether a repeated header was joined, or the key would break a header line or a path. */
-static bool key_is_plain(const char *key)
+/* Rejects keys that would break a header line or a path, and the joined values of a repeated
+ * header.
+ */
+static bool key_is_valid(const char *key)
 {
 	for (; *key; key++)
 		if (!g_ascii_isalnum(*key) && !strchr("-_.", *key))
@@ -26,12 +28,12 @@
 
 	if (!key)
 		return err_set(err, ERR_VALUE, "Idempotency-Key is required");
-	if (length < KEY_LEAST || length > KEY_MOST || !key_is_plain(key))
+	if (length < KEY_MIN_BYTES || length > KEY_MAX_BYTES || !key_is_valid(key))
 		return err_set(
 			err, ERR_VALUE,
 			"Idempotency-Key must be given once: milliseconds since 1970 at its issue, "
 			"'-', and an id; %d to %d of letters, digits, '-', '_' and '.'",
-			KEY_LEAST, KEY_MOST);
+			KEY_MIN_BYTES, KEY_MAX_BYTES);
 	request->key = g_strdup(key);
 	request->body = g_strndup(body->str, body->len);
 	return true;
@@ -49,7 +51,7 @@
 	return copy;
 }
 
-char *action_sub_headers(const query_t *query)
+char *action_subrequest_headers(const query_t *query)
 {
 	return g_strdup_printf("idempotency-key: %s\r\n", query->request->key);
 }
--- a/src/commands/action.h
+++ b/src/commands/action.h
@@ -1,17 +1,20 @@
 /**
  * @file action.h
- * Callers' one command: an action that runs at most once under an idempotency key.
+ * Reads and answers callers' actions, which run at most once per idempotency key.
  */
 #ifndef DS_ACTION_H
 #define DS_ACTION_H
 
 #include "core/query.h"
 
-/** Take the key and body of an action into @p request. @p key may be NULL when none was sent. */
+/**
+ * Check the key of an action, and copy its key and body into @p request.
+ * @param key value of the Idempotency-Key header; NULL when it was not sent
+ */
 bool action_parse(const char *key, const GString *body, request_t *request, err_t *err);
-/** The answer to an action that ran, for the caller to g_free(). */
+/** @return the answer to an action that ran, which the caller frees with g_free() */
 char *action_format(const query_t *query);
-/** Header lines of the sub-request that carries it. */
-char *action_sub_headers(const query_t *query);
+/** @return header lines of an action's sub-request, which the caller frees with g_free() */
+char *action_subrequest_headers(const query_t *query);
 
 #endif
--- a/src/commands/intent.c
+++ b/src/commands/intent.c
@@ -4,7 +4,7 @@
  */
 #include "commands/intent.h"
 
-static const char *text_of(const json_t *body, const char *key)
+static const char *string_field(const json_t *body, const char *key)
 {
 	const char *text = json_string_value(json_object_get(body, key));
 
@@ -18,10 +18,10 @@
 	plan_t *plan = NULL;
 	plan_verb_t verb;
 
-	if (!plan_verb_parse(text_of(parsed, "verb"), &verb))
+	if (!plan_verb_parse(string_field(parsed, "verb"), &verb))
 		err_set(err, ERR_VALUE, "verb: must be take-out or bring-back");
 	else
-		plan = plan_make(verb, text_of(parsed, "name"), adoption, engine, err);
+		plan = plan_make(verb, string_field(parsed, "name"), adoption, engine, err);
 	json_decref(parsed);
 	return plan;
 }
@@ -37,7 +37,8 @@
 	return false;
 }
 
-/* Checked again at confirmation: a searcher may have been lost since the plan was read. */
+/* The losses are those of the plan as made again at confirmation: searchers may have been lost
+ * since the operator read the plan. */
 static bool check_losses(const plan_t *plan, const json_t *force, err_t *err)
 {
 	size_t i;
@@ -56,9 +57,9 @@
 		       char **by, err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
-	plan_t *plan = plan_again(text_of(parsed, "plan"), adoption, engine, err);
+	plan_t *plan = plan_again(string_field(parsed, "plan"), adoption, engine, err);
 
-	*by = g_strdup(text_of(parsed, "by"));
+	*by = g_strdup(string_field(parsed, "by"));
 	if (plan && !check_losses(plan, json_object_get(parsed, "force"), err)) {
 		plan_free(plan);
 		plan = NULL;
--- a/src/commands/intent.h
+++ b/src/commands/intent.h
@@ -1,19 +1,23 @@
 /**
  * @file intent.h
- * Operators' commands: plan an intent, and confirm a plan.
+ * Operators' commands that take a searcher or data centre out of service or bring it back: make a
+ * plan, and confirm it.
  */
 #ifndef DS_INTENT_H
 #define DS_INTENT_H
 
 #include "core/plan.h"
 
-/** Read {"verb", "name"} and work out its plan. NULL with the fault in @p err. */
+/**
+ * Parse {"verb", "name"} and make the plan.
+ * @return NULL with the error in @p err
+ */
 plan_t *intent_plan(const GString *body, const adoption_t *adoption, const engine_t *engine,
 		    err_t *err);
 /**
- * Read {"plan", "by", "force"} and work out the plan again, refusing it when it would lose a
- * group's last working searcher and `force` does not name that group.
- * @param by who confirms; set for the caller to g_free()
+ * Parse {"plan", "by", "force"} and make the plan again. A plan that would take a group's last
+ * working searcher is refused unless `force` names that group.
+ * @param by set to who confirms the plan; the caller frees it with g_free()
  */
 plan_t *intent_confirm(const GString *body, const adoption_t *adoption, const engine_t *engine,
 		       char **by, err_t *err);
--- a/src/commands/propose.c
+++ b/src/commands/propose.c
@@ -29,14 +29,14 @@
 	return true;
 }
 
-propose_t *propose_parse(const GString *body, err_t *err)
+propose_request_t *propose_parse(const GString *body, err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
-	propose_t *propose = NULL;
+	propose_request_t *propose = NULL;
 	const char *note;
 
 	if (check(parsed, err)) {
-		propose = g_new0(propose_t, 1);
+		propose = g_new0(propose_request_t, 1);
 		propose->base = (uint64_t)json_integer_value(json_object_get(parsed, "base"));
 		propose->id = g_uuid_string_random();
 		propose->by = g_strdup(json_string_value(json_object_get(parsed, "by")));
@@ -48,7 +48,7 @@
 	return propose;
 }
 
-void propose_free(propose_t *propose)
+void propose_free(propose_request_t *propose)
 {
 	g_free(propose->id);
 	g_free(propose->by);
--- a/src/commands/propose.h
+++ b/src/commands/propose.h
@@ -1,26 +1,27 @@
 /**
  * @file propose.h
- * An operator's command: propose a configuration.
+ * Reads an operator's request to propose a configuration.
  */
 #ifndef DS_PROPOSE_H
 #define DS_PROPOSE_H
 
 #include "core/config.h"
 
-/** A proposal as it came in; owned. */
-typedef struct propose_t {
-	uint64_t base;
+/** The request's fields; the strings and the JSON value are owned. */
+typedef struct propose_request_t {
+	uint64_t base; /**< number of the configuration that the change is based on */
 	char *id;
 	char *by;
 	char *note;
 	json_t *config;
-} propose_t;
+} propose_request_t;
 
 /**
- * Read {"base", "by", "note", "config"} and check the configuration with the code that will put it
- * in force. NULL with the fault in @p err.
+ * Parse {"base", "by", "note", "config"}, and check the configuration with the same parser that
+ * VMs use when they activate it.
+ * @return NULL with the error in @p err
  */
-propose_t *propose_parse(const GString *body, err_t *err);
-void propose_free(propose_t *propose);
+propose_request_t *propose_parse(const GString *body, err_t *err);
+void propose_free(propose_request_t *propose);
 
 #endif
--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -137,7 +137,7 @@
 {
 	const adoption_t *adoption = query_task_adoption(task->source->queries);
 	err_t err = {0};
-	propose_t *propose = propose_parse(http_exchange_body(exchange), &err);
+	propose_request_t *propose = propose_parse(http_exchange_body(exchange), &err);
 	g_autofree char *detail = NULL;
 
 	if (!propose) {
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -105,7 +105,7 @@
 	sub->connections = attempt->upstream->share;
 	sub->method = once ? "POST" : "GET";
 	sub->path = once ? g_strdup("/action") : search_subrequest_path(attempt, loop_now_us());
-	sub->headers = once ? action_sub_headers(attempt->query) : NULL;
+	sub->headers = once ? action_subrequest_headers(attempt->query) : NULL;
 	sub->body = once ? g_strdup(request->body) : NULL;
 	/*
 	 * A kept-alive connection may have gone silent: an action sent on it would end as unknown.
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -71,7 +71,7 @@
 {
 	g_autoptr(GString) body = g_string_new_len((const char *)data, (gssize)bytes);
 	err_t err;
-	propose_t *propose = propose_parse(body, &err);
+	propose_request_t *propose = propose_parse(body, &err);
 
 	if (propose)
 		propose_free(propose);
