--- a/src/tool/client.c
+++ b/src/tool/client.c
@@ -18,14 +18,14 @@
 	char *headers;
 };
 
-/** A call while the loop runs for it. */
-typedef struct running_t {
+/** A call in progress; the loop runs until it has finished. */
+typedef struct tool_call_t {
 	client_t *client;
 	http_call_t *call;
 	loop_timer_t timer;
 	json_t *reply;
 	int status;
-} running_t;
+} tool_call_t;
 
 client_t *client_new(const char *addresses, const char *token)
 {
@@ -50,20 +50,20 @@
 
 static void call_finished(void *ctx, http_call_t *call)
 {
-	running_t *running = ctx;
+	tool_call_t *pending = ctx;
 	const GString *text = http_call_reply(call);
 
-	loop_timer_cancel(&running->timer);
+	loop_timer_cancel(&pending->timer);
 	if (http_call_result(call) == HTTP_CALL_REPLIED) {
-		running->status = http_call_status(call);
-		running->reply = json_loadb(text->str, text->len, JSON_DECODE_ANY, NULL);
+		pending->status = http_call_status(call);
+		pending->reply = json_loadb(text->str, text->len, JSON_DECODE_ANY, NULL);
 	}
-	loop_stop(running->client->loop);
+	loop_stop(pending->client->loop);
 }
 
 static void call_timeout(void *ctx)
 {
-	http_call_cancel(((running_t *)ctx)->call);
+	http_call_cancel(((tool_call_t *)ctx)->call);
 }
 
 static void on_signal(void *ctx, int number)
@@ -77,7 +77,7 @@
 {
 	g_auto(GStrv) parts = g_strsplit(client->addresses[index], ":", 2);
 	char *text = body ? json_dumps(body, JSON_COMPACT) : NULL;
-	running_t running = {.client = client};
+	tool_call_t pending = {.client = client};
 	http_request_t http = {.method = body ? "POST" : "GET",
 			       .address = parts[0],
 			       .port = (uint16_t)(parts[1] ? atoi(parts[1]) : 0),
@@ -86,15 +86,15 @@
 			       .body = text,
 			       .body_bytes = text ? strlen(text) : 0,
 			       .finished = call_finished,
-			       .ctx = &running};
+			       .ctx = &pending};
 
-	running.timer = (loop_timer_t){.fire = call_timeout, .ctx = &running};
-	loop_timer_set(client->loop, &running.timer, CALL_TIMEOUT_US);
-	running.call = http_pool_start(client->pool, 0, &http);
+	pending.timer = (loop_timer_t){.fire = call_timeout, .ctx = &pending};
+	loop_timer_set(client->loop, &pending.timer, CALL_TIMEOUT_US);
+	pending.call = http_pool_start(client->pool, 0, &http);
 	loop_run(client->loop, on_signal, NULL);
 	free(text);
-	*status = running.status;
-	return running.reply;
+	*status = pending.status;
+	return pending.reply;
 }
 
 json_t *client_call_any(client_t *client, const char *path, const json_t *body, int *status)
--- a/src/tool/client.h
+++ b/src/tool/client.h
@@ -1,6 +1,6 @@
 /**
  * @file client.h
- * The tool's calls on daemons' admin addresses, one after the other.
+ * HTTP calls of the tool to daemons' admin addresses, one at a time.
  */
 #ifndef DS_CLIENT_H
 #define DS_CLIENT_H
@@ -11,20 +11,23 @@
 
 typedef struct client_t client_t;
 
-/** @param addresses "ip:port,ip:port": any daemon; the first that answers is used where one will do
+/**
+ * @param addresses "ip:port,ip:port": admin addresses of daemons; client_call_any() uses the first
+ * that answers
+ * @param token operator's token, sent with each call
  */
 client_t *client_new(const char *addresses, const char *token);
 uint32_t client_count(const client_t *client);
 const char *client_address(const client_t *client, uint32_t index);
 /**
- * Call the daemon at @p index.
- * @param body NULL for GET
- * @param status HTTP status, 0 when it can't be reached
+ * Call the daemon at @p index and wait for its reply.
+ * @param body of a POST; NULL for a GET
+ * @param status set to the HTTP status; 0 when the daemon is unreachable
  * @return the reply's JSON, or NULL
  */
 json_t *client_call(client_t *client, uint32_t index, const char *path, const json_t *body,
 		    int *status);
-/** Call the first daemon that can be reached. */
+/** Call the first daemon that is reachable. */
 json_t *client_call_any(client_t *client, const char *path, const json_t *body, int *status);
 
 #endif
--- a/src/tool/dogwoodsaddle.c
+++ b/src/tool/dogwoodsaddle.c
@@ -1,6 +1,6 @@
 /**
  * @file dogwoodsaddle.c
- * The operators' command-line tool. It talks HTTP to any daemon's admin address.
+ * The operators' command-line tool. It calls the admin addresses of daemons over HTTP.
  */
 #include "core/config.h"
 #include "tool/client.h"
@@ -18,10 +18,10 @@
 
 #define EXIT_REFUSED 1
 #define EXIT_USAGE 2
-#define EXIT_UNREACHED 3
+#define EXIT_UNREACHABLE 3
 #define WAIT_STEP_US 100000
-/* One a VM, of thousands. */
-#define LOGS_MOST 10000
+/* One log file per VM, for thousands of VMs. */
+#define LOG_FILES_MAX 10000
 
 const char *argp_program_version = "dogwoodsaddle " DS_VERSION;
 
@@ -40,11 +40,11 @@
 	const char *name;
 	const char *arguments;
 	const char *help;
-	uint32_t least, most; /* arguments */
+	uint32_t min_arguments, max_arguments;
 	int (*run)(tool_t *tool, char **args);
 } command_t;
 
-/* ---- showing ---- */
+/* ---- output ---- */
 
 static void print_json(const json_t *body)
 {
@@ -54,7 +54,7 @@
 	free(text);
 }
 
-static char *cell(const json_t *value)
+static char *format_cell(const json_t *value)
 {
 	if (json_is_string(value))
 		return g_strdup(json_string_value(value));
@@ -73,14 +73,14 @@
 	json_t *row;
 
 	json_array_foreach ((json_t *)rows, i, row) {
-		g_autofree char *text = cell(json_object_get(row, key));
+		g_autofree char *text = format_cell(json_object_get(row, key));
 
 		width = MAX(width, strlen(text));
 	}
 	return width;
 }
 
-/* A table with the keys of the first row as columns. */
+/* Prints a table with the keys of the first row as columns. */
 static void print_table(const json_t *rows)
 {
 	const char *key;
@@ -92,7 +92,7 @@
 	puts("");
 	json_array_foreach ((json_t *)rows, i, row) {
 		json_object_foreach (json_array_get(rows, 0), key, value) {
-			g_autofree char *text = cell(json_object_get(row, key));
+			g_autofree char *text = format_cell(json_object_get(row, key));
 
 			printf("%-*s  ", (int)column_width(rows, key), text);
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-static int finish(const tool_t *tool, int status, const json_t *reply)
+static int report_result(const tool_t *tool, int status, const json_t *reply)
 {
 	const char *detail = json_string_value(json_object_get(reply, "detail"));
 	const char *title = json_string_value(json_object_get(reply, "title"));
@@ -109,20 +109,20 @@
 		return 0;
 	if (!status) {
 		fprintf(stderr, "no daemon could be reached: %s\n", tool->admin);
-		return EXIT_UNREACHED;
+		return EXIT_UNREACHABLE;
 	}
 	fprintf(stderr, "refused: %s%s%s\n", title ? title : "", detail ? ": " : "",
 		detail ? detail : "");
 	return EXIT_REFUSED;
 }
 
-/* Ask one daemon and show a list as a table. */
+/* Requests a list from one daemon and prints it as a table. */
 static int show_list(tool_t *tool, const char *path)
 {
 	int status = 0, code;
 	json_t *reply = client_call_any(tool->client, path, NULL, &status);
 
-	code = finish(tool, status, reply);
+	code = report_result(tool, status, reply);
 	if (code == 0 && tool->json)
 		print_json(reply);
 	else if (code == 0)
@@ -149,7 +149,7 @@
 	return show_list(tool, "/v1/members");
 }
 
-/* A row for each daemon, those that can't be reached among them. */
+/* Prints a row for each daemon, including unreachable ones. */
 static int run_status(tool_t *tool, char **args)
 {
 	json_t *rows = json_array();
@@ -165,8 +165,9 @@
 		if (status == 200)
 			json_object_update(row, reply);
 		else
-			code = EXIT_UNREACHED;
-		/* The first row gives the columns, so one that answered goes first. */
+			code = EXIT_UNREACHABLE;
+		/* The first row determines the columns, so rows of daemons that answered go first.
+		 */
 		json_array_insert_new(rows, status == 200 ? 0 : json_array_size(rows), row);
 		json_decref(reply);
 	}
@@ -178,7 +179,7 @@
 	return code;
 }
 
-/* NULL when one can't be read, which is said. */
+/* Returns NULL, after printing the error, when a log can't be read. */
 static GPtrArray *read_logs(char **paths)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(log_line_free);
@@ -200,7 +201,7 @@
 	g_autoptr(GPtrArray) lines = NULL;
 
 	if (!*args)
-		return timeline_view(tool->client, &filter, tool->json) ? EXIT_UNREACHED : 0;
+		return timeline_view(tool->client, &filter, tool->json) ? EXIT_UNREACHABLE : 0;
 	lines = read_logs(args);
 	if (!lines)
 		return EXIT_USAGE;
@@ -219,8 +220,8 @@
 	if (explain_request(lines, args[0]))
 		return 0;
 	fprintf(stderr,
-		"no line of these logs names request %s: are the logs of all VMs here, and does "
-		"event=log-lost stand in one?\n",
+		"no line of these logs names request %s: check that the logs of all VMs are here, "
+		"and whether one of them has event=log-lost\n",
 		args[0]);
 	return EXIT_REFUSED;
 }
@@ -232,7 +233,7 @@
 	int status = 0;
 	json_t *reply = client_call_any(tool->client, "/v1/config", NULL, &status);
 
-	*code = finish(tool, status, reply);
+	*code = report_result(tool, status, reply);
 	return reply;
 }
 
@@ -272,7 +273,7 @@
 	return code;
 }
 
-static json_t *read_file(const char *path)
+static json_t *read_json_file(const char *path)
 {
 	json_error_t where;
 	json_t *body = json_load_file(path, JSON_REJECT_DUPLICATES, &where);
@@ -282,17 +283,17 @@
 	return body;
 }
 
-/* Every value that differs, by its path. Returns how many. */
-static uint32_t diff(const json_t *old, const json_t *fresh, const char *path)
+/* Prints each value that differs, with its path. Returns how many differ. */
+static uint32_t print_diff(const json_t *old, const json_t *proposed, const char *path)
 {
 	uint32_t count = 0;
 	const char *key;
 	json_t *value;
 
-	if (json_equal(old, fresh))
+	if (json_equal(old, proposed))
 		return 0;
-	if (!json_is_object(old) || !json_is_object(fresh)) {
-		g_autofree char *a = cell(old), *b = cell(fresh);
+	if (!json_is_object(old) || !json_is_object(proposed)) {
+		g_autofree char *a = format_cell(old), *b = format_cell(proposed);
 
 		printf("%s\n- %.400s\n+ %.400s\n", path, a, b);
 		return 1;
@@ -300,30 +301,30 @@
 	json_object_foreach ((json_t *)old, key, value) {
 		g_autofree char *child = g_strdup_printf("%s.%s", path, key);
 
-		count += diff(value, json_object_get(fresh, key), child);
+		count += print_diff(value, json_object_get(proposed, key), child);
 	}
-	json_object_foreach ((json_t *)fresh, key, value) {
+	json_object_foreach ((json_t *)proposed, key, value) {
 		g_autofree char *child = g_strdup_printf("%s.%s", path, key);
 
 		if (!json_object_get(old, key))
-			count += diff(NULL, value, child);
+			count += print_diff(NULL, value, child);
 	}
 	return count;
 }
 
 static int config_diff(tool_t *tool, const char *path)
 {
-	json_t *fresh = read_file(path), *reply;
+	json_t *proposed = read_json_file(path), *reply;
 	int code;
 
-	if (!fresh)
+	if (!proposed)
 		return EXIT_USAGE;
 	reply = get_config(tool, &code);
-	if (code == 0 &&
-	    !diff(json_object_get(json_object_get(reply, "value"), "config"), fresh, "config"))
+	if (code == 0 && !print_diff(json_object_get(json_object_get(reply, "value"), "config"),
+				     proposed, "config"))
 		puts("no difference");
 	json_decref(reply);
-	json_decref(fresh);
+	json_decref(proposed);
 	return code;
 }
 
@@ -332,7 +333,7 @@
 	int status = 0, code;
 	json_t *reply = client_call_any(tool->client, path, body, &status);
 
-	code = finish(tool, status, reply);
+	code = report_result(tool, status, reply);
 	if (code == 0)
 		print_json(reply);
 	json_decref(reply);
@@ -342,19 +343,19 @@
 
 static int config_propose(tool_t *tool, const char *path)
 {
-	json_t *fresh = read_file(path), *reply;
+	json_t *proposed = read_json_file(path), *reply;
 	int code;
 
-	if (!fresh)
+	if (!proposed)
 		return EXIT_USAGE;
 	reply = get_config(tool, &code);
 	if (code == 0)
 		code = post(tool, "/v1/config",
 			    json_pack("{s:O, s:s, s:s, s:O}", "base",
 				      json_object_get(reply, "number"), "by", tool->by, "note",
-				      tool->note, "config", fresh));
+				      tool->note, "config", proposed));
 	json_decref(reply);
-	json_decref(fresh);
+	json_decref(proposed);
 	return code;
 }
 
@@ -363,10 +364,10 @@
 	for (uint32_t i = 0; i < client_count(tool->client); i++) {
 		int status = 0;
 		json_t *reply = client_call(tool->client, i, "/v1/status", NULL, &status);
-		bool there = json_integer_value(json_object_get(reply, "config")) >= number;
+		bool in_force = json_integer_value(json_object_get(reply, "config")) >= number;
 
 		json_decref(reply);
-		if (!there)
+		if (!in_force)
 			return false;
 	}
 	return true;
@@ -433,15 +434,16 @@
 	{"services", "", "services as one daemon sees them", 0, 0, run_services},
 	{"upstreams", "", "searchers as one daemon sees them", 0, 0, run_upstreams},
 	{"members", "", "the other daemons as one of them sees them", 0, 0, run_members},
-	{"timeline", "[LOG...]", "events of all daemons, or of logs, in causal order", 0, LOGS_MOST,
-	 run_timeline},
-	{"explain", "REQUEST LOG...", "why a request failed, by the logs of all VMs", 2, LOGS_MOST,
-	 run_explain},
+	{"timeline", "[LOG...]", "events of all daemons, or of logs, in causal order", 0,
+	 LOG_FILES_MAX, run_timeline},
+	{"explain", "REQUEST LOG...", "why a request failed, from the logs of all VMs", 2,
+	 LOG_FILES_MAX, run_explain},
 	{"config", "show|history|diff FILE|propose FILE|wait NUMBER", "the configuration", 1, 2,
 	 run_config},
 	{"take-out", "NAME", "plan: a data centre or searcher gets no new work", 1, 1,
 	 run_take_out},
-	{"bring-back", "NAME", "plan: it gets work again", 1, 1, run_bring_back},
+	{"bring-back", "NAME", "plan: a data centre or searcher gets work again", 1, 1,
+	 run_bring_back},
 	{"confirm", "PLAN", "carry a plan out", 1, 1, run_confirm},
 	{"completion", "", "a completion script for bash", 0, 0, run_completion},
 };
@@ -463,13 +465,14 @@
 static const struct argp_option options[] = {
 	{"admin", 'a', "IP:PORT,...", 0, "daemons' admin addresses (DOGWOODSADDLE_ADMIN)", 0},
 	{"token", 't', "TOKEN", 0, "operator's token (DOGWOODSADDLE_TOKEN)", 0},
-	{"json", 'j', 0, 0, "answer in JSON", 0},
-	{"by", 'b', "NAME", 0, "who asks, for the history (USER)", 0},
+	{"json", 'j', 0, 0, "print the answer as JSON", 0},
+	{"by", 'b', "NAME", 0, "operator's name for the history (USER)", 0},
 	{"note", 'n', "TEXT", 0, "what a proposal is for", 0},
-	{"force", 'f', "SERVICE/GROUP", 0, "confirm though this group is lost; may be repeated", 0},
+	{"force", 'f', "SERVICE/GROUP", 0, "confirm although this group is lost; may be repeated",
+	 0},
 	{"since-ms", 's', "N", 0, "timeline: only the last N milliseconds", 0},
 	{"request", 'r', "ID", 0, "timeline: only this request", 0},
-	{"timeout-ms", 'w', "N", 0, "config wait: how long (10000)", 0},
+	{"timeout-ms", 'w', "N", 0, "config wait: time-out in milliseconds (10000)", 0},
 	{0},
 };
 
@@ -524,8 +527,9 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
 		g_string_append_printf(help, "  %s %s\n      %s\n", commands[i].name,
 				       commands[i].arguments, commands[i].help);
-	g_string_append(help,
-			"\nExit: 0 done, 1 refused, 2 wrong use, 3 a daemon could not be reached.");
+	g_string_append(
+		help,
+		"\nExit status: 0 done, 1 refused, 2 wrong use, 3 a daemon could not be reached.");
 	return g_string_free(help, FALSE);
 }
 
@@ -534,8 +538,8 @@
 	for (size_t i = 0; words && words[0] && i < G_N_ELEMENTS(commands); i++) {
 		uint32_t count = g_strv_length(words + 1);
 
-		if (g_str_equal(commands[i].name, words[0]) && count >= commands[i].least &&
-		    count <= commands[i].most)
+		if (g_str_equal(commands[i].name, words[0]) && count >= commands[i].min_arguments &&
+		    count <= commands[i].max_arguments)
 			return &commands[i];
 	}
 	return NULL;
--- a/src/tool/explain.c
+++ b/src/tool/explain.c
@@ -7,48 +7,50 @@
 #include <stdio.h>
 #include <string.h>
 
-/* What happened to a searcher or VM this long before an answer may be its cause: the longest time
- * that callers wait is 3 s, and searchers are registered for some 4 s after they died. */
-#define BEFORE_MS 8000
-/* What comes shortly after still tells: a hang is known 0.3 s later, a removal up to 4 s. */
-#define AFTER_MS 4000
-/* Around the request, to see how the same searcher served others. */
-#define AROUND_MS 1500
-
-/** What an outcome means, and whether the request ran. */
+/* An event of a searcher or VM may be the cause of an answer up to this long afterwards: callers
+ * wait at most 3 s, and searchers stay registered for about 4 s after they died. */
+#define CAUSE_BEFORE_MS 8000
+/* Events shortly after the answer can show its cause too: a hang is detected 0.3 s later, and an
+ * entry is removed from the store up to 4 s later. */
+#define CAUSE_AFTER_MS 4000
+/* Sub-requests to the same searcher within this time of the answer are counted, to show how it
+ * served other requests. */
+#define OUTCOMES_WITHIN_MS 1500
+
+/** Explains an outcome, and whether the request ran. */
 typedef struct meaning_t {
 	const char *outcome;
 	const char *text;
 } meaning_t;
 
 static const meaning_t meanings[] = {
-	{"answered", "answered; parts that are missing are named by lost="},
+	{"answered", "answered; parts that are missing are listed in lost="},
 	{"not-ready", "not run: this VM had no configuration or list of searchers yet"},
-	{"no-route", "not run: no route of its version fits the host and path"},
+	{"no-route", "not run: no route of that configuration version matches the host and path"},
 	{"no-searcher",
 	 "not run: no searcher of the service could be sent work; passed_over= counts those that "
-	 "its regions, an evacuation or their cold rest forbade"},
+	 "the route's regions, an evacuation or the rate limit on cold searchers excluded"},
 	{"leaving", "not run: this VM was about to end"},
-	{"too-late", "not run: the caller's time was over when it was read"},
+	{"too-late", "not run: the caller's time to wait was over when the request was read"},
 	{"full", "not run: no connection to a searcher would have become free in time"},
 	{"rejected", "not run: every searcher asked refused it"},
-	{"too-few", "may have run in part: too few parts could still be had"},
-	{"failed", "may have run: the answer was lost, or was none"},
-	{"timeout", "may have run: sent, and no answer in time"},
+	{"too-few", "may have run in part: too few parts could still be answered"},
+	{"failed", "may have run: the answer was lost, or none was valid"},
+	{"timeout", "may have run: sent, and no answer came in time"},
 	{"blocked",
 	 "not run: searchers have ended under this request, and it is not sent any more"},
-	{"deferred", "not run: a searcher has ended under this request, and one attempt at a time "
-		     "is tried, on all VMs"},
+	{"deferred", "not run: a searcher has ended under this request, and only one attempt at a "
+		     "time is sent, over all VMs"},
 };
 
-/** The window of an explanation. */
-typedef struct view_t {
+/** A request that is being explained. */
+typedef struct explanation_t {
 	const GPtrArray *lines;
 	const char *request;
 	const log_line_t *answer;
-	GHashTable *searchers; /* ids that the request was sent to */
-	char *gatherer;	       /* the VM that gathered it for the answer's; NULL when none did */
-} view_t;
+	GHashTable *searchers; /* ids of the searchers that the request was sent to */
+	char *gatherer;	       /* the VM that the answering VM handed it over to, or NULL */
+} explanation_t;
 
 static void print_line(const log_line_t *line)
 {
@@ -59,10 +61,10 @@
 	printf("  %s.%03u %-14s %s\n", stamp, (unsigned)(ms % 1000), line->vm, line->text);
 }
 
-/* By how much the line lies after the answer. */
-static int64_t after_ms(const view_t *view, const log_line_t *line)
+/* Time from the answer to the line; negative when the line is earlier. */
+static int64_t after_ms(const explanation_t *explanation, const log_line_t *line)
 {
-	return (int64_t)log_line_ms(line) - (int64_t)log_line_ms(view->answer);
+	return (int64_t)log_line_ms(line) - (int64_t)log_line_ms(explanation->answer);
 }
 
 static bool is_event(const log_line_t *line, const char *event)
@@ -78,68 +80,69 @@
 	return "an outcome that this version of the tool does not know";
 }
 
-static void note_asked(view_t *view, const char *asked)
+static void add_tried_searchers(explanation_t *explanation, const char *tried)
 {
-	g_auto(GStrv) ids = g_strsplit(asked, "+", 0);
+	g_auto(GStrv) ids = g_strsplit(tried, "+", 0);
 
 	for (char **id = ids; *id && !g_str_equal(*id, "nobody"); id++)
-		g_hash_table_add(view->searchers, g_strdup(*id));
+		g_hash_table_add(explanation->searchers, g_strdup(*id));
 }
 
-/* "lost=SERVICE:STATE:SEARCHER+...:REPLY" may stand several times in a line. */
-static void note_lost(view_t *view, const char *text)
+/* A line can hold "lost=SERVICE:STATE:SEARCHER+...:REPLY" several times. */
+static void add_searchers_of_lost_parts(explanation_t *explanation, const char *text)
 {
 	for (const char *at = text; (at = strstr(at, " lost=")); at++) {
 		g_autofree char *value = g_strndup(at + 6, strcspn(at + 6, " "));
 		g_auto(GStrv) fields = g_strsplit(value, ":", 0);
 
 		if (g_strv_length(fields) >= 3)
-			note_asked(view, fields[2]);
+			add_tried_searchers(explanation, fields[2]);
 	}
 }
 
-static void note_searchers(view_t *view, const log_line_t *line)
+static void add_searchers_of_line(explanation_t *explanation, const log_line_t *line)
 {
 	char *searcher = log_line_value(line, "searcher");
 
 	if (searcher)
-		g_hash_table_add(view->searchers, searcher);
-	note_lost(view, line->text);
+		g_hash_table_add(explanation->searchers, searcher);
+	add_searchers_of_lost_parts(explanation, line->text);
 }
 
-/* The last answer line, or the last line at all when there is none. */
-static bool find_answer(view_t *view)
+/* Finds the last answer line of the request, or its last line when it has no answer line. */
+static bool find_answer(explanation_t *explanation)
 {
-	for (guint i = 0; i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
+	for (guint i = 0; i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
 
-		if (!log_line_has(line, "request", view->request))
+		if (!log_line_has(line, "request", explanation->request))
 			continue;
-		note_searchers(view, line);
-		if (!view->answer || is_event(line, "answer") || !is_event(view->answer, "answer"))
-			view->answer = line;
+		add_searchers_of_line(explanation, line);
+		if (!explanation->answer || is_event(line, "answer") ||
+		    !is_event(explanation->answer, "answer"))
+			explanation->answer = line;
 	}
-	return view->answer != NULL;
+	return explanation->answer != NULL;
 }
 
-static void print_request(const view_t *view)
+static void print_request(const explanation_t *explanation)
 {
-	printf("request %s: %s\n", view->request,
-	       is_event(view->answer, "answer") ? meaning_of(view->answer)
-						: "no line of its answer in these logs");
-	for (guint i = 0; i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
+	printf("request %s: %s\n", explanation->request,
+	       is_event(explanation->answer, "answer") ? meaning_of(explanation->answer)
+						       : "these logs have no line of its answer");
+	for (guint i = 0; i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
 
-		if (log_line_has(line, "request", view->request))
+		if (log_line_has(line, "request", explanation->request))
 			print_line(line);
 	}
 }
 
-/* What was held against the request, by any VM. */
-static void print_poison(const view_t *view, const char *fingerprint)
+/* Prints the strikes and trials of the request on any VM. */
+static void print_poison(const explanation_t *explanation, const char *fingerprint)
 {
-	for (guint i = 0; fingerprint && i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
+	for (guint i = 0; fingerprint && i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
 
 		if ((is_event(line, "poison") || is_event(line, "poison-trial")) &&
 		    log_line_has(line, "fingerprint", fingerprint))
@@ -147,17 +150,18 @@
 	}
 }
 
-/* Each attempt of a caller has an id of its own; the fingerprint shows that it is one request. */
-static void print_attempts(const view_t *view)
+/* Each attempt of a caller has its own request id; attempts at one request share a fingerprint. */
+static void print_attempts(const explanation_t *explanation)
 {
-	g_autofree char *fingerprint = log_line_value(view->answer, "fingerprint");
+	g_autofree char *fingerprint = log_line_value(explanation->answer, "fingerprint");
 	uint32_t attempts = 0;
 
-	print_poison(view, fingerprint);
-	for (guint i = 0; fingerprint && i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
+	print_poison(explanation, fingerprint);
+	for (guint i = 0; fingerprint && i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
 
-		if (!is_event(line, "answer") || log_line_has(line, "request", view->request) ||
+		if (!is_event(line, "answer") ||
+		    log_line_has(line, "request", explanation->request) ||
 		    !log_line_has(line, "fingerprint", fingerprint))
 			continue;
 		if (!attempts++)
@@ -167,54 +171,55 @@
 	}
 }
 
-/* Sub-requests of all VMs to it around that time, by outcome. */
-static void print_service(const view_t *view, const char *searcher)
+/* Prints how many sub-requests of all VMs to the searcher had each outcome around that time. */
+static void print_searcher_outcomes(const explanation_t *explanation, const char *searcher)
 {
 	g_autoptr(GHashTable) counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	GHashTableIter iter;
 	gpointer outcome, count;
 
-	for (guint i = 0; i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
+	for (guint i = 0; i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
 		char *value;
 
-		if (ABS(after_ms(view, line)) > AROUND_MS || !is_event(line, "sub-request") ||
-		    !log_line_has(line, "searcher", searcher))
+		if (ABS(after_ms(explanation, line)) > OUTCOMES_WITHIN_MS ||
+		    !is_event(line, "sub-request") || !log_line_has(line, "searcher", searcher))
 			continue;
 		value = log_line_value(line, "outcome");
 		count = g_hash_table_lookup(counts, value);
 		g_hash_table_insert(counts, value, GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
 	}
 	printf("searcher %s, sub-requests logged by all VMs within %.1f s:", searcher,
-	       AROUND_MS / 1000.0);
+	       OUTCOMES_WITHIN_MS / 1000.0);
 	g_hash_table_iter_init(&iter, counts);
 	while (g_hash_table_iter_next(&iter, &outcome, &count))
 		printf(" %s=%u", (const char *)outcome, GPOINTER_TO_UINT(count));
 	puts(g_hash_table_size(counts) ? "" : " none");
 }
 
-/* Each VM logs the same change of a searcher: the first line of each kind is enough. */
-static void print_searcher(const view_t *view, const char *searcher)
+/* All VMs log the same changes of a searcher, so only the first line of each event is printed. */
+static void print_searcher(const explanation_t *explanation, const char *searcher)
 {
-	g_autoptr(GHashTable) told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	g_autoptr(GHashTable) printed =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
-	print_service(view, searcher);
-	for (guint i = 0; i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
-		int64_t after = after_ms(view, line);
+	print_searcher_outcomes(explanation, searcher);
+	for (guint i = 0; i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
+		int64_t after = after_ms(explanation, line);
 		char *event;
 
-		if (after < -BEFORE_MS || after > AFTER_MS || is_event(line, "sub-request") ||
-		    !log_line_has(line, "searcher", searcher))
+		if (after < -CAUSE_BEFORE_MS || after > CAUSE_AFTER_MS ||
+		    is_event(line, "sub-request") || !log_line_has(line, "searcher", searcher))
 			continue;
 		event = log_line_value(line, "event");
-		if (g_hash_table_add(told, event))
+		if (g_hash_table_add(printed, event))
 			print_line(line);
 	}
 }
 
-/* What changed what the VM believes, or could do. */
-static bool is_of_vm(const log_line_t *line)
+/* Whether the event changed what the VM knew or was able to do. */
+static bool is_vm_event(const log_line_t *line)
 {
 	static const char *const events[] = {"start",	   "stopped",	     "leaving",
 					     "woke",	   "paused",	     "reloaded",
@@ -229,15 +234,15 @@
 	return false;
 }
 
-static void print_vm(const view_t *view, const char *vm)
+static void print_vm(const explanation_t *explanation, const char *vm)
 {
-	printf("VM %s in the %u s before:\n", vm, BEFORE_MS / 1000);
-	for (guint i = 0; i < view->lines->len; i++) {
-		const log_line_t *line = g_ptr_array_index(view->lines, i);
-		int64_t after = after_ms(view, line);
+	printf("VM %s in the %u s before:\n", vm, CAUSE_BEFORE_MS / 1000);
+	for (guint i = 0; i < explanation->lines->len; i++) {
+		const log_line_t *line = g_ptr_array_index(explanation->lines, i);
+		int64_t after = after_ms(explanation, line);
 
-		if (after >= -BEFORE_MS && after <= 0 && g_str_equal(line->vm, vm) &&
-		    is_of_vm(line))
+		if (after >= -CAUSE_BEFORE_MS && after <= 0 && g_str_equal(line->vm, vm) &&
+		    is_vm_event(line))
 			print_line(line);
 	}
 }
@@ -246,21 +251,21 @@
 {
 	g_autoptr(GHashTable) searchers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	view_t view = {.lines = lines, .request = request, .searchers = searchers};
+	explanation_t explanation = {.lines = lines, .request = request, .searchers = searchers};
 	GHashTableIter iter;
 	gpointer searcher;
 
-	if (!find_answer(&view))
+	if (!find_answer(&explanation))
 		return false;
-	view.gatherer = log_line_value(view.answer, "gathered_by");
-	print_request(&view);
-	print_attempts(&view);
+	explanation.gatherer = log_line_value(explanation.answer, "gathered_by");
+	print_request(&explanation);
+	print_attempts(&explanation);
 	g_hash_table_iter_init(&iter, searchers);
 	while (g_hash_table_iter_next(&iter, &searcher, NULL))
-		print_searcher(&view, searcher);
-	print_vm(&view, view.answer->vm);
-	if (view.gatherer && !g_str_equal(view.gatherer, "nobody"))
-		print_vm(&view, view.gatherer);
-	g_free(view.gatherer);
+		print_searcher(&explanation, searcher);
+	print_vm(&explanation, explanation.answer->vm);
+	if (explanation.gatherer && !g_str_equal(explanation.gatherer, "nobody"))
+		print_vm(&explanation, explanation.gatherer);
+	g_free(explanation.gatherer);
 	return true;
 }
--- a/src/tool/explain.h
+++ b/src/tool/explain.h
@@ -1,6 +1,6 @@
 /**
  * @file explain.h
- * From a failed request's id to its cause, by the logs collected from all VMs.
+ * Explains why a request failed, from its id and the logs of all VMs.
  */
 #ifndef DS_EXPLAIN_H
 #define DS_EXPLAIN_H
@@ -8,10 +8,10 @@
 #include "tool/log_lines.h"
 
 /**
- * Print what the logs say of a request: its answer, its sub-requests, what became of the searchers
- * it was sent to, and what its VM went through before.
- * @param lines log_line_t, sorted
- * @return false when no line names it
+ * Print what the logs say about a request: its answer, its sub-requests, the events of the
+ * searchers that it was sent to, and the events of its VM shortly before the answer.
+ * @param lines log_line_t, sorted by log_line_compare()
+ * @return false when no line names the request
  */
 bool explain_request(const GPtrArray *lines, const char *request);
 
--- a/src/tool/log_lines.c
+++ b/src/tool/log_lines.c
@@ -43,7 +43,7 @@
 	return strcmp(x->vm, y->vm);
 }
 
-/* Where the value of @p key begins in @p text, or NULL. */
+/* Returns the start of the value of @p key in @p text, or NULL. */
 static const char *find_value(const char *text, const char *key)
 {
 	size_t bytes = strlen(key);
@@ -75,8 +75,8 @@
 	return copy_value(line->text, key);
 }
 
-/* 0 when the text has no time that can be read. */
-static uint64_t stamp_of(const char *text)
+/* Returns the line's time as in log_line_t, or 0 when it has no valid time. */
+static uint64_t time_of_line(const char *text)
 {
 	g_autofree char *hlc = copy_value(text, "hlc");
 	g_autofree char *time = copy_value(text, "time");
@@ -92,12 +92,12 @@
 	       << COUNTER_BITS;
 }
 
-static void take_line(const char *text, GPtrArray *lines)
+static void add_line(const char *text, GPtrArray *lines)
 {
 	const char *from = strstr(text, "time=");
 	const char *event = from ? strstr(from, " event=") : NULL;
 	g_autofree char *vm = from ? copy_value(from, "vm") : NULL;
-	uint64_t at = event && vm ? stamp_of(from) : 0;
+	uint64_t at = event && vm ? time_of_line(from) : 0;
 
 	if (at)
 		g_ptr_array_add(lines, log_line_new(at, vm, event + 1));
@@ -108,19 +108,19 @@
 	bool is_input = g_str_equal(path, "-");
 	FILE *file = is_input ? stdin : fopen(path, "r");
 	char *text = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 	ssize_t bytes;
-	bool whole;
+	bool complete;
 
 	if (!file)
 		return false;
-	while ((bytes = getline(&text, &room, file)) > 0) {
+	while ((bytes = getline(&text, &capacity, file)) > 0) {
 		text[strcspn(text, "\r\n")] = '\0';
-		take_line(text, lines);
+		add_line(text, lines);
 	}
-	whole = !ferror(file);
+	complete = !ferror(file);
 	free(text);
 	if (!is_input)
 		fclose(file);
-	return whole;
+	return complete;
 }
--- a/src/tool/log_lines.h
+++ b/src/tool/log_lines.h
@@ -1,6 +1,6 @@
 /**
  * @file log_lines.h
- * Lines of daemons' logs, as collected from their standard output.
+ * Reads log lines of daemons, as collected from their standard output.
  */
 #ifndef DS_LOG_LINES_H
 #define DS_LOG_LINES_H
@@ -11,27 +11,30 @@
 
 /** One event of one VM. */
 typedef struct log_line_t {
-	/** Milliseconds since 1970 << 16 | counter: the line's causal stamp where it has one, else
-	 * the VM's time of day. */
+	/** Milliseconds since 1970 << 16 | counter: the hybrid logical clock of the line where it
+	 * has one (hlc=), else the VM's time of day. */
 	uint64_t at;
 	char *vm;
 	char *text; /**< "event=... key=value ..." */
 } log_line_t;
 
-/** Its time in milliseconds since 1970. */
+/** @return the line's time in milliseconds since 1970 */
 uint64_t log_line_ms(const log_line_t *line);
 log_line_t *log_line_new(uint64_t at, const char *vm, const char *text);
 void log_line_free(void *line);
-/** Order by time, then by VM: for g_ptr_array_sort(). */
+/** Comparison for g_ptr_array_sort(): orders lines by time, then by VM. */
 gint log_line_compare(gconstpointer a, gconstpointer b);
-/** Whether the line has the pair "key=value", whole. */
+/** Whether the line has the pair "key=value" with exactly this value. */
 bool log_line_has(const log_line_t *line, const char *key, const char *value);
-/** The value of @p key, to be freed; NULL when the line has none. Not for quoted texts. */
+/**
+ * Values in quotes that contain spaces are not supported.
+ * @return the value of @p key, which the caller frees with g_free(); NULL when the line has none
+ */
 char *log_line_value(const log_line_t *line, const char *key);
 /**
- * Append the events of the file at @p path ("-": standard input). Text before "time=" is left out,
- * as collectors put their own there; lines that are no events are passed over.
- * @return false when it can't be read; errno says why
+ * Append the events of the file at @p path ("-": standard input). Text before "time=" is ignored,
+ * because log collectors put their own text there; lines without an event are skipped.
+ * @return false when the file can't be read; errno holds the reason
  */
 bool log_lines_read(const char *path, GPtrArray *lines);
 
--- a/src/tool/timeline_view.c
+++ b/src/tool/timeline_view.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void collect(const json_t *reply, uint64_t since, GPtrArray *rows)
+static void add_events(const json_t *reply, uint64_t since, GPtrArray *rows)
 {
 	const char *vm = json_string_value(json_object_get(reply, "vm"));
 	size_t i;
@@ -61,23 +61,24 @@
 	g_autoptr(GPtrArray) rows = g_ptr_array_new_with_free_func(log_line_free);
 	uint64_t now_ms = (uint64_t)g_get_real_time() / 1000;
 	uint64_t since = filter->since_ms ? (now_ms - filter->since_ms) << 16 : 0;
-	uint32_t unreached = 0;
+	uint32_t unreachable = 0;
 
 	for (uint32_t i = 0; i < client_count(client); i++) {
 		int status = 0;
 		json_t *reply = client_call(client, i, "/v1/timeline", NULL, &status);
 
 		if (status == 200) {
-			collect(reply, since, rows);
+			add_events(reply, since, rows);
 		} else {
-			unreached++;
-			fprintf(stderr, "not reached: %s; its events are missing here\n",
+			unreachable++;
+			fprintf(stderr,
+				"daemon %s could not be reached; its events are missing here\n",
 				client_address(client, i));
 		}
 		json_decref(reply);
 	}
 	print_rows(rows, filter, json);
-	return unreached;
+	return unreachable;
 }
 
 void timeline_view_logs(GPtrArray *lines, const timeline_filter_t *filter, bool json)
