--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -157,7 +157,7 @@
 
 	(void)ctx;
 	g_string_append_len(out, head->str, (gssize)head->len);
-	headers_write_sub(out, sub->searcher, subrequest_time_left_us(sub, loop_now_us()));
+	headers_write_subrequest(out, sub->searcher, subrequest_time_left_us(sub, loop_now_us()));
 }
 
 static const GString *body_of(void *ctx, const subrequest_t *sub)
--- a/src/tasks/member_task.c
+++ b/src/tasks/member_task.c
@@ -239,7 +239,7 @@
 static void list(void *ctx)
 {
 	member_task_t *task = ctx;
-	g_autofree char *target = store_old_list_target(STORE_VMS, task->after);
+	g_autofree char *target = store_stale_list_target(STORE_VMS, task->after);
 
 	if (!task->after) {
 		g_ptr_array_set_size(task->reading, 0);
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -43,7 +43,7 @@
 	assert_string_equal(headers.host, "h");
 	assert_int_equal(headers.patience_us, 800000);
 	headers_write_common(head, message);
-	headers_write_sub(head, &searcher, 750900);
+	headers_write_subrequest(head, &searcher, 750900);
 	assert_string_equal(head->str, "GET /a/?q=1 HTTP/1.1\r\nHost: h\r\nX-Own: 1\r\nX-Own: 2\r\n"
 				       "Dogwoodsaddle-Request-Id: id\r\n"
 				       "Dogwoodsaddle-Request-Deadline: 750\r\n"
@@ -588,8 +588,8 @@
 {
 	g_autofree char *list = store_list_target(STORE_SEARCHERS, NULL);
 	g_autofree char *next = store_list_target(STORE_SEARCHERS, "a/b");
-	g_autofree char *old = store_old_list_target(STORE_VMS, NULL);
-	g_autofree char *old_next = store_old_list_target(STORE_VMS, "vm-1");
+	g_autofree char *old = store_stale_list_target(STORE_VMS, NULL);
+	g_autofree char *old_next = store_stale_list_target(STORE_VMS, "vm-1");
 	g_autofree char *watch = store_watch_target(STORE_CONFIGURATION, 5, 100);
 
 	(void)state;
