--- a/src/log.c
+++ b/src/log.c
@@ -11,41 +11,41 @@
 #include <time.h>
 #include <unistd.h>
 
-/* 200 KB a minute at lines of 160 bytes are 20 lines a second; a burst is for the moment in which
- * something breaks. */
-#define FAILURES_A_SECOND 14.0
+/* Failures and successes together: 20 lines per second, which are 200 KB per minute at 160 bytes
+ * per line. The bursts are for the moment in which something breaks. */
+#define FAILURES_PER_S 14.0
 #define FAILURES_BURST 300.0
-#define SUCCESSES_A_SECOND 6.0
+#define SUCCESSES_PER_S 6.0
 #define SUCCESSES_BURST 40.0
-#define DECISIONS_A_SECOND 10.0
+#define DECISIONS_PER_S 10.0
 #define DECISIONS_BURST 200.0
-/* How often the number of lost lines is told, while lines are lost. */
-#define LOST_TOLD_US 5000000
-/* Kept for a reader that is slow; beyond it lines are lost. */
-#define BUFFER_MOST_BYTES (64u << 10)
-/* A pipe that can be written to takes so much without waiting. */
-#define WRITE_MOST_BYTES 4096
-#define WRITES_A_TURN 8
-
-/* What a kind of lines may still use of its rate. */
-typedef struct allowance_t {
-	double a_second;
+/* Interval at which the number of dropped lines is logged, while lines are dropped. */
+#define LOST_REPORT_INTERVAL_US 5000000
+/* Lines are buffered for a slow reader up to this size; further lines are dropped. */
+#define BUFFER_MAX_BYTES (64u << 10)
+/* A pipe that can be written to takes this much without blocking. */
+#define WRITE_MAX_BYTES 4096
+#define WRITES_PER_ITERATION 8
+
+/* Token bucket that limits the rate of one kind of lines. */
+typedef struct log_rate_limit_t {
+	double per_s;
 	double burst;
-	double left;
-	gint64 at_us;
-	guint64 lost;
-} allowance_t;
+	double tokens;
+	gint64 refilled_us;
+	guint64 dropped;
+} log_rate_limit_t;
 
-static GLogLevelFlags shown = G_LOG_LEVEL_INFO;
+static GLogLevelFlags max_level = G_LOG_LEVEL_INFO;
 static char *vm_name;
-static GString *waiting;
-static allowance_t failures = {
-	.a_second = FAILURES_A_SECOND, .burst = FAILURES_BURST, .left = FAILURES_BURST};
-static allowance_t successes = {
-	.a_second = SUCCESSES_A_SECOND, .burst = SUCCESSES_BURST, .left = SUCCESSES_BURST};
+static GString *buffer;
+static log_rate_limit_t failures = {
+	.per_s = FAILURES_PER_S, .burst = FAILURES_BURST, .tokens = FAILURES_BURST};
+static log_rate_limit_t successes = {
+	.per_s = SUCCESSES_PER_S, .burst = SUCCESSES_BURST, .tokens = SUCCESSES_BURST};
 
-static allowance_t decisions = {
-	.a_second = DECISIONS_A_SECOND, .burst = DECISIONS_BURST, .left = DECISIONS_BURST};
+static log_rate_limit_t decisions = {
+	.per_s = DECISIONS_PER_S, .burst = DECISIONS_BURST, .tokens = DECISIONS_BURST};
 
 static const char *level_name(GLogLevelFlags level)
 {
@@ -63,22 +63,22 @@
 	}
 }
 
-static bool take(allowance_t *allowance)
+static bool take_token(log_rate_limit_t *limit)
 {
 	gint64 now_us = g_get_monotonic_time();
 
-	allowance->left += (double)(now_us - allowance->at_us) / 1e6 * allowance->a_second;
-	allowance->left = MIN(allowance->left, allowance->burst);
-	allowance->at_us = now_us;
-	if (allowance->left < 1 || waiting->len > BUFFER_MOST_BYTES) {
-		allowance->lost++;
+	limit->tokens += (double)(now_us - limit->refilled_us) / 1e6 * limit->per_s;
+	limit->tokens = MIN(limit->tokens, limit->burst);
+	limit->refilled_us = now_us;
+	if (limit->tokens < 1 || buffer->len > BUFFER_MAX_BYTES) {
+		limit->dropped++;
 		return false;
 	}
-	allowance->left -= 1;
+	limit->tokens -= 1;
 	return true;
 }
 
-/* All but the fraction is formed once a second. */
+/* Formats the time; the part without the fraction is formatted only once per second. */
 static void append_time(void)
 {
 	static char second_text[32];
@@ -92,36 +92,36 @@
 		gmtime_r(&second, &parts);
 		strftime(second_text, sizeof(second_text), "%Y-%m-%dT%H:%M:%S.", &parts);
 	}
-	g_string_append_printf(waiting, "time=%s%06ldZ", second_text, now.tv_nsec / 1000);
+	g_string_append_printf(buffer, "time=%s%06ldZ", second_text, now.tv_nsec / 1000);
 }
 
 static void append_line(GLogLevelFlags level, const char *text)
 {
 	append_time();
-	g_string_append_printf(waiting, " level=%s vm=%s %s\n", level_name(level), vm_name, text);
+	g_string_append_printf(buffer, " level=%s vm=%s %s\n", level_name(level), vm_name, text);
 }
 
 static void append_lost(void)
 {
-	static gint64 told_us;
+	static gint64 reported_us;
 	gint64 now_us = g_get_monotonic_time();
 	char text[128];
 
-	if ((!failures.lost && !successes.lost && !decisions.lost) ||
-	    now_us < told_us + LOST_TOLD_US)
+	if ((!failures.dropped && !successes.dropped && !decisions.dropped) ||
+	    now_us < reported_us + LOST_REPORT_INTERVAL_US)
 		return;
-	told_us = now_us;
+	reported_us = now_us;
 	g_snprintf(text, sizeof(text),
 		   "event=log-lost failures=%" G_GUINT64_FORMAT " successes=%" G_GUINT64_FORMAT
 		   " decisions=%" G_GUINT64_FORMAT,
-		   failures.lost, successes.lost, decisions.lost);
-	failures.lost = 0;
-	successes.lost = 0;
-	decisions.lost = 0;
+		   failures.dropped, successes.dropped, decisions.dropped);
+	failures.dropped = 0;
+	successes.dropped = 0;
+	decisions.dropped = 0;
 	append_line(G_LOG_LEVEL_MESSAGE, text);
 }
 
-static allowance_t *allowance_of(const char *domain, GLogLevelFlags level)
+static log_rate_limit_t *rate_limit_of(const char *domain, GLogLevelFlags level)
 {
 	if (domain && g_str_equal(domain, LOG_DECISIONS))
 		return &decisions;
@@ -132,9 +132,9 @@
 {
 	(void)unused;
 	level &= G_LOG_LEVEL_MASK;
-	if (level > shown)
+	if (level > max_level)
 		return;
-	if (!take(allowance_of(domain, level)))
+	if (!take_token(rate_limit_of(domain, level)))
 		return;
 	append_lost();
 	append_line(level, text);
@@ -147,34 +147,34 @@
 	struct pollfd reader = {.fd = STDOUT_FILENO, .events = POLLOUT};
 
 	(void)ctx;
-	for (int i = 0; i < WRITES_A_TURN && waiting && waiting->len; i++) {
+	for (int i = 0; i < WRITES_PER_ITERATION && buffer && buffer->len; i++) {
 		ssize_t written;
 
 		if (poll(&reader, 1, 0) != 1 || !(reader.revents & POLLOUT))
 			return;
-		written = write(STDOUT_FILENO, waiting->str, MIN(waiting->len, WRITE_MOST_BYTES));
+		written = write(STDOUT_FILENO, buffer->str, MIN(buffer->len, WRITE_MAX_BYTES));
 		if (written <= 0)
-			return; /* the next turn tries again */
-		g_string_erase(waiting, 0, written);
+			return; /* retried in the loop's next iteration */
+		g_string_erase(buffer, 0, written);
 	}
 }
 
 void log_set_level(const char *level)
 {
 	if (g_str_equal(level, "debug"))
-		shown = G_LOG_LEVEL_DEBUG;
+		max_level = G_LOG_LEVEL_DEBUG;
 	else if (g_str_equal(level, "warning"))
-		shown = G_LOG_LEVEL_WARNING;
+		max_level = G_LOG_LEVEL_WARNING;
 	else
-		shown = G_LOG_LEVEL_INFO;
+		max_level = G_LOG_LEVEL_INFO;
 }
 
 void log_start(const char *vm, const char *level)
 {
 	g_free(vm_name);
 	vm_name = g_strdup(vm);
-	if (!waiting)
-		waiting = g_string_sized_new(WRITE_MOST_BYTES);
+	if (!buffer)
+		buffer = g_string_sized_new(WRITE_MAX_BYTES);
 	log_set_level(level);
 	g_log_set_default_handler(write_line, NULL);
 }
--- a/src/log.h
+++ b/src/log.h
@@ -1,12 +1,13 @@
 /**
  * @file log.h
- * Logs: one line of key=value pairs an event, to standard output, through GLib.
+ * Logging through GLib to standard output: one line of key=value pairs per event.
  *
- * Lines are kept until the end of a turn of the loop and written together. A reader that stops
- * reading costs lines, never a request; so does more than a bounded rate of them, of which those
- * about failures and beliefs (message level and above) are kept before those about successes
- * (info). How many were lost is told in a line of its own. Decisions are few and explain much of
- * what follows: they have a rate of their own, which lines about requests can't use up.
+ * Lines are buffered and written together at the end of an iteration of the loop. Lines are dropped
+ * when the reader stops reading, so that it never blocks requests, and when they exceed a rate
+ * limit. Lines about failures and about what this VM knows (message level and above) have a limit
+ * of their own, so that lines about successes (info level) can't displace them. The number of
+ * dropped lines is logged in a line of its own. Decisions are few and explain much of what follows,
+ * so they have a limit of their own too, which lines about requests can't use up.
  */
 #ifndef DS_LOG_H
 #define DS_LOG_H
@@ -14,13 +15,16 @@
 #include <glib.h>
 
 #define LOG_DECISIONS "decisions"
-/** A line about a decision, at message level. */
+/** Log a line about a decision, at message level. */
 #define log_decision(...) g_log(LOG_DECISIONS, G_LOG_LEVEL_MESSAGE, __VA_ARGS__)
 
-/** Send GLib's logs to standard output with time, level and @p vm, from @p level up. */
+/**
+ * Write GLib's logs to standard output, with time, level and the name @p vm in each line.
+ * @param level lowest level that is written: "debug", "info" or "warning"
+ */
 void log_start(const char *vm, const char *level);
 void log_set_level(const char *level);
-/** Write what the reader takes without waiting. */
+/** Write as much of the buffered lines as the reader takes without blocking. */
 void log_flush(void *ctx);
 
 #endif
