--- a/src/settings.c
+++ b/src/settings.c
@@ -15,28 +15,28 @@
 	SETTING_SECRET,
 	SETTING_TEXT,
 	SETTING_LEVEL,
-	SETTING_TEXTS_END, /**< those before it are kept as text */
+	SETTING_TEXTS_END, /**< the types before it are stored as strings */
 	SETTING_NUMBER,
 	SETTING_ENDPOINT,
 	SETTING_RATIO,
 } setting_type_t;
 
-/** Which daemons need a key: a file with [front] is for one that forwards by routes. */
+/** Which daemons use a key; a settings file with [front] selects forwarding mode. */
 typedef enum setting_use_t {
 	USE_ALWAYS,
-	USE_OWN,   /**< one that serves its own interface */
-	USE_FRONT, /**< one that forwards by routes */
+	USE_OWN,   /**< daemons that serve their own query interface */
+	USE_FRONT, /**< daemons in forwarding mode */
 } setting_use_t;
 
-/** One key that may stand in the file. */
+/** A known key of the file. */
 typedef struct setting_t {
 	const char *group;
 	const char *key;
 	setting_type_t type;
 	size_t offset;
-	const char *fallback; /* NULL when the key must be given */
+	const char *fallback; /* default value; NULL when the key is required */
 	setting_use_t use;
-	uint32_t least, most;
+	uint32_t min, max; /* of a number */
 } setting_t;
 
 #define FRONT_GROUP "front"
@@ -51,15 +51,15 @@
 	 .type = SETTING_NUMBER,
 	 .offset = AT(link_mbps),
 	 .fallback = "0",
-	 .least = 0,
-	 .most = 1000000},
+	 .min = 0,
+	 .max = 1000000},
 	{.group = "vm",
 	 .key = "cores",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(cores),
 	 .fallback = "0",
-	 .least = 0,
-	 .most = 1024},
+	 .min = 0,
+	 .max = 1024},
 	{.group = "vm",
 	 .key = "core_share",
 	 .type = SETTING_RATIO,
@@ -75,22 +75,22 @@
 	 .key = "callers_port",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(callers_port),
-	 .least = 1,
-	 .most = 65535},
+	 .min = 1,
+	 .max = 65535},
 	{.group = "listen",
 	 .use = USE_OWN,
 	 .key = "admin_port",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(admin_port),
-	 .least = 1,
-	 .most = 65535},
+	 .min = 1,
+	 .max = 65535},
 	{.group = "listen",
 	 .use = USE_OWN,
 	 .key = "peers_port",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(peers_port),
-	 .least = 1,
-	 .most = 65535},
+	 .min = 1,
+	 .max = 65535},
 	{.group = "platform",
 	 .use = USE_OWN,
 	 .key = "address",
@@ -101,8 +101,8 @@
 	 .key = "port",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(platform_port),
-	 .least = 1,
-	 .most = 65535},
+	 .min = 1,
+	 .max = 65535},
 	{.group = "operators",
 	 .use = USE_OWN,
 	 .key = "token",
@@ -130,22 +130,22 @@
 	 .type = SETTING_NUMBER,
 	 .offset = AT(drain_ms),
 	 .fallback = "3000",
-	 .least = 0,
-	 .most = 600000},
+	 .min = 0,
+	 .max = 600000},
 	{.group = "stop",
 	 .key = "quiet_ms",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(quiet_ms),
 	 .fallback = "500",
-	 .least = 0,
-	 .most = 60000},
+	 .min = 0,
+	 .max = 60000},
 	{.group = "stop",
 	 .key = "grace_s",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(grace_s),
 	 .fallback = "600",
-	 .least = 1,
-	 .most = 3600},
+	 .min = 1,
+	 .max = 3600},
 	{.group = "front",
 	 .key = "callers",
 	 .type = SETTING_ENDPOINT,
@@ -189,48 +189,48 @@
 	 .offset = AT(retry_constant),
 	 .fallback = "0",
 	 .use = USE_FRONT,
-	 .least = 0,
-	 .most = 1000000},
+	 .min = 0,
+	 .max = 1000000},
 	{.group = "retries",
 	 .key = "window_s",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(retry_window_s),
 	 .fallback = "10",
 	 .use = USE_FRONT,
-	 .least = 1,
-	 .most = 3600},
+	 .min = 1,
+	 .max = 3600},
 	{.group = "store",
 	 .key = "apply_ms",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(apply_ms),
 	 .fallback = "3000",
 	 .use = USE_FRONT,
-	 .least = 100,
-	 .most = 3600000},
+	 .min = 100,
+	 .max = 3600000},
 	{.group = "store",
 	 .key = "leave_ms",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(leave_ms),
 	 .fallback = "0",
 	 .use = USE_FRONT,
-	 .least = 0,
-	 .most = 3600000},
+	 .min = 0,
+	 .max = 3600000},
 	{.group = "store",
 	 .key = "settle_ms",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(settle_ms),
 	 .fallback = "5000",
 	 .use = USE_FRONT,
-	 .least = 100,
-	 .most = 3600000},
+	 .min = 100,
+	 .max = 3600000},
 	{.group = "store",
 	 .key = "evacuate_ms",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(evacuate_ms),
 	 .fallback = "0",
 	 .use = USE_FRONT,
-	 .least = 0,
-	 .most = 3600000},
+	 .min = 0,
+	 .max = 3600000},
 	{.group = "log",
 	 .key = "level",
 	 .type = SETTING_LEVEL,
@@ -241,22 +241,22 @@
 	 .type = SETTING_NUMBER,
 	 .offset = AT(hedge),
 	 .fallback = "1",
-	 .least = 0,
-	 .most = 1},
+	 .min = 0,
+	 .max = 1},
 	{.group = "policy",
 	 .key = "choose_by_cost",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(choose_by_cost),
 	 .fallback = "1",
-	 .least = 0,
-	 .most = 1},
+	 .min = 0,
+	 .max = 1},
 	{.group = "policy",
 	 .key = "adapt_limit",
 	 .type = SETTING_NUMBER,
 	 .offset = AT(adapt_limit),
 	 .fallback = "1",
-	 .least = 0,
-	 .most = 1},
+	 .min = 0,
+	 .max = 1},
 };
 
 /** The file while it is being read. */
@@ -264,12 +264,12 @@
 	const char *path;
 	GKeyFile *file;
 	char **lines;
-	GPtrArray *faults;
+	GPtrArray *errors;
 } reader_t;
 
-/* GKeyFile keeps no line numbers; @p key NULL finds the group's own line. 0 when it is not there.
- */
-static int line_of(const reader_t *reader, const char *group, const char *key)
+/* Finds the line of a key, or of the group's header when @p key is NULL, because GKeyFile keeps no
+ * line numbers. Returns 0 when it is not in the file. */
+static int find_line(const reader_t *reader, const char *group, const char *key)
 {
 	g_autofree char *header = g_strdup_printf("[%s]", group);
 	bool inside = false;
@@ -292,21 +292,21 @@
 	return 0;
 }
 
-static void fault(reader_t *reader, const char *group, const char *key, const char *format, ...)
+static void add_error(reader_t *reader, const char *group, const char *key, const char *format, ...)
 	G_GNUC_PRINTF(4, 5);
 
-static void fault(reader_t *reader, const char *group, const char *key, const char *format, ...)
+static void add_error(reader_t *reader, const char *group, const char *key, const char *format, ...)
 {
-	int line = line_of(reader, group, key);
+	int line = find_line(reader, group, key);
 	g_autofree char *text = NULL;
 	va_list args;
 
 	if (!line)
-		line = line_of(reader, group, NULL);
+		line = find_line(reader, group, NULL);
 	va_start(args, format);
 	text = g_strdup_vprintf(format, args);
 	va_end(args);
-	g_ptr_array_add(reader->faults, g_strdup_printf("%s:%d: [%s] %s: %s", reader->path,
+	g_ptr_array_add(reader->errors, g_strdup_printf("%s:%d: [%s] %s: %s", reader->path,
 							MAX(line, 1), group, key ? key : "", text));
 }
 
@@ -328,19 +328,19 @@
 		if (g_str_equal(*group, REGIONS_GROUP))
 			continue;
 		if (!find_setting(*group, NULL)) {
-			fault(reader, *group, NULL,
-			      "unknown section; known are vm, listen, platform, operators, "
-			      "peers, front, regions, retries, stop, log and policy");
+			add_error(reader, *group, NULL,
+				  "unknown section; known are vm, listen, platform, operators, "
+				  "peers, front, regions, retries, stop, log and policy");
 			continue;
 		}
 		for (char **key = keys; key && *key; key++)
 			if (!find_setting(*group, *key))
-				fault(reader, *group, *key, "unknown key");
+				add_error(reader, *group, *key, "unknown key");
 	}
 }
 
-/* Any data centre may be a key there. */
-static void take_regions(reader_t *reader, settings_t *settings)
+/* The keys of this section are names of data centres. */
+static void read_region_settings(reader_t *reader, settings_t *settings)
 {
 	g_auto(GStrv) keys = g_key_file_get_keys(reader->file, REGIONS_GROUP, NULL, NULL);
 
@@ -350,19 +350,19 @@
 				    g_key_file_get_string(reader->file, REGIONS_GROUP, *key, NULL));
 }
 
-static bool is_name(const char *text)
+static bool is_setting_name(const char *text)
 {
 	return *text && strlen(text) < 64 &&
 	       strspn(text, "abcdefghijklmnopqrstuvwxyz0123456789-") == strlen(text);
 }
 
-static const char *text_problem(setting_type_t type, const char *text)
+static const char *text_setting_error(setting_type_t type, const char *text)
 {
 	struct in_addr ignored;
 
 	switch (type) {
 	case SETTING_NAME:
-		return is_name(text) ? NULL : "must be 1 to 63 of a-z, 0-9 and '-'";
+		return is_setting_name(text) ? NULL : "must be 1 to 63 of a-z, 0-9 and '-'";
 	case SETTING_ADDRESS:
 		return inet_pton(AF_INET, text, &ignored) == 1 ? NULL : "must be an IPv4 number";
 	case SETTING_SECRET:
@@ -377,29 +377,30 @@
 	}
 }
 
-static void take_number(reader_t *reader, const setting_t *setting, const char *text, uint32_t *out)
+static void read_number_setting(reader_t *reader, const setting_t *setting, const char *text,
+				uint32_t *out)
 {
 	char *end;
 	double number = g_ascii_strtod(text, &end);
 
-	/* "14.0" is a whole number, too: some writers always put the point. */
-	if (end != text && !*end && number == floor(number) && number >= setting->least &&
-	    number <= setting->most)
+	/* "14.0" is a whole number too, because some writers always write the decimal point. */
+	if (end != text && !*end && number == floor(number) && number >= setting->min &&
+	    number <= setting->max)
 		*out = (uint32_t)number;
 	else
-		fault(reader, setting->group, setting->key,
-		      "must be a whole number from %u to %u, not \"%s\"", setting->least,
-		      setting->most, text);
+		add_error(reader, setting->group, setting->key,
+			  "must be a whole number from %u to %u, not \"%s\"", setting->min,
+			  setting->max, text);
 }
 
-static void take_endpoint(reader_t *reader, const setting_t *setting, const char *text,
-			  endpoint_setting_t *out)
+static void read_endpoint_setting(reader_t *reader, const setting_t *setting, const char *text,
+				  endpoint_setting_t *out)
 {
 	const char *colon = strrchr(text, ':');
 	struct in_addr ignored;
 	guint64 port = 0;
 
-	if (!*text && setting->fallback) /* set from others, once all are read */
+	if (!*text && setting->fallback) /* derived from other settings once all are read */
 		return;
 	if (colon && (size_t)(colon - text) < sizeof(out->address)) {
 		g_strlcpy(out->address, text, (gsize)(colon - text) + 1);
@@ -407,18 +408,20 @@
 	}
 	out->port = (uint16_t)port;
 	if (!port || inet_pton(AF_INET, out->address, &ignored) != 1)
-		fault(reader, setting->group, setting->key,
-		      "must be an IPv4 number and a port, as in 10.1.0.9:8021, not \"%s\"", text);
+		add_error(reader, setting->group, setting->key,
+			  "must be an IPv4 number and a port, as in 10.1.0.9:8021, not \"%s\"",
+			  text);
 }
 
-static void take_ratio(reader_t *reader, const setting_t *setting, const char *text, double *out)
+static void read_ratio_setting(reader_t *reader, const setting_t *setting, const char *text,
+			       double *out)
 {
 	char *end;
 
 	*out = g_ascii_strtod(text, &end);
 	if (end == text || *end || !(*out >= 0 && *out <= 1))
-		fault(reader, setting->group, setting->key,
-		      "must be a number from 0 to 1, not \"%s\"", text);
+		add_error(reader, setting->group, setting->key,
+			  "must be a number from 0 to 1, not \"%s\"", text);
 }
 
 static bool is_used(const setting_t *setting, const settings_t *settings)
@@ -426,7 +429,7 @@
 	return setting->use == USE_ALWAYS || (setting->use == USE_FRONT) == settings->forwards;
 }
 
-static void take(reader_t *reader, const setting_t *setting, settings_t *settings)
+static void read_setting(reader_t *reader, const setting_t *setting, settings_t *settings)
 {
 	g_autofree char *text =
 		g_key_file_get_string(reader->file, setting->group, setting->key, NULL);
@@ -436,32 +439,33 @@
 	if (!text)
 		text = g_strdup(setting->fallback);
 	if (!text) {
-		fault(reader, setting->group, setting->key, "must be given");
+		add_error(reader, setting->group, setting->key, "is required");
 		return;
 	}
 	g_strstrip(text);
 	switch (setting->type) {
 	case SETTING_NUMBER:
-		take_number(reader, setting, text, field);
+		read_number_setting(reader, setting, text, field);
 		return;
 	case SETTING_ENDPOINT:
-		take_endpoint(reader, setting, text, field);
+		read_endpoint_setting(reader, setting, text, field);
 		return;
 	case SETTING_RATIO:
-		take_ratio(reader, setting, text, field);
+		read_ratio_setting(reader, setting, text, field);
 		return;
 	default:
 		break;
 	}
-	problem = text_problem(setting->type, text);
+	problem = text_setting_error(setting->type, text);
 	if (problem)
-		fault(reader, setting->group, setting->key, "%s", problem);
+		add_error(reader, setting->group, setting->key, "%s", problem);
 	else
 		*(char **)field = g_steal_pointer(&text);
 }
 
-/* The platform says which ports are free by the first and the last: the one after the first. */
-static void complete(settings_t *settings)
+/* Sets the default of [front] gather. The platform names the first and the last of the free ports;
+ * the metrics use the first one, and gathers the port after it. */
+static void set_gather_default(settings_t *settings)
 {
 	if (settings->front_gather.port || !settings->forwards)
 		return;
@@ -469,9 +473,9 @@
 	settings->front_gather.port++;
 }
 
-settings_t *settings_read(const char *path, GPtrArray *faults)
+settings_t *settings_read(const char *path, GPtrArray *errors)
 {
-	reader_t reader = {.path = path, .faults = faults};
+	reader_t reader = {.path = path, .errors = errors};
 	g_autoptr(GKeyFile) file = g_key_file_new();
 	g_autoptr(GError) error = NULL;
 	g_autofree char *text = NULL;
@@ -480,7 +484,7 @@
 
 	if (!g_file_get_contents(path, &text, NULL, &error) ||
 	    !g_key_file_load_from_data(file, text, strlen(text), G_KEY_FILE_NONE, &error)) {
-		g_ptr_array_add(faults, g_strdup_printf("%s:1: %s", path, error->message));
+		g_ptr_array_add(errors, g_strdup_printf("%s:1: %s", path, error->message));
 		return NULL;
 	}
 	lines = g_strsplit(text, "\n", 0);
@@ -488,13 +492,13 @@
 	reader.lines = lines;
 	settings = g_new0(settings_t, 1);
 	settings->forwards = g_key_file_has_group(file, FRONT_GROUP);
-	take_regions(&reader, settings);
+	read_region_settings(&reader, settings);
 	check_unknown(&reader);
 	for (size_t i = 0; i < G_N_ELEMENTS(known); i++)
 		if (is_used(&known[i], settings))
-			take(&reader, &known[i], settings);
-	complete(settings);
-	if (faults->len == 0)
+			read_setting(&reader, &known[i], settings);
+	set_gather_default(settings);
+	if (errors->len == 0)
 		return settings;
 	settings_free(settings);
 	return NULL;
