--- a/src/dogwoodsaddled.c
+++ b/src/dogwoodsaddled.c
@@ -1,6 +1,6 @@
 /**
  * @file dogwoodsaddled.c
- * The daemon: the same program on each entry VM.
+ * The daemon; all entry VMs run the same program.
  */
 #include "log.h"
 #include "settings.h"
@@ -19,12 +19,12 @@
 
 #define EXIT_BAD_SETTINGS 2
 #define STOP_CHECK_US 20000
-/* Requests taken later than this before the end might not be answered in time: the longest that
- * callers of a search wait. */
-#define LAST_REQUEST_US 2500000
-/* A change of the file is in force within the 3 s that any change is given. */
+/* The longest time that callers of a search wait: requests that are accepted less than this before
+ * the process is killed might not be answered in time. */
+#define LAST_REQUEST_BEFORE_END_US 2500000
+/* Any change has to be in force within 3 s, also one of the settings file. */
 #define FILE_CHECK_US 2000000
-/* A planned stop ends by itself before the process is killed. */
+/* The daemon stops by itself this long before the grace time ends and the process is killed. */
 #define GRACE_MARGIN_US 150000
 
 const char *argp_program_version = "dogwoodsaddled " DS_VERSION;
@@ -45,18 +45,18 @@
 	peer_task_t *peers;
 	caller_task_t *callers;
 	admin_task_t *admin;
-	front_task_t *front; /* instead of the five before it, on a VM that forwards by routes */
+	front_task_t *front; /* in forwarding mode, instead of the five tasks above */
 	status_source_t source;
 	loop_timer_t stop_timer;
-	uint64_t leaving_since_us;
+	uint64_t drain_start_us;
 	loop_timer_t file_timer;
-	struct stat file_seen; /* of the settings file, when it was last read; size 0 at first */
+	struct stat file_stat; /* of the settings file at its last check; size 0 before the first */
 } daemon_t;
 
 static const struct argp_option options[] = {
-	{"config", 'c', "FILE", 0, "settings of this VM (INI); DOGWOODSADDLE_CONFIG names it too",
+	{"config", 'c', "FILE", 0, "settings file of this VM (INI); default: DOGWOODSADDLE_CONFIG",
 	 0},
-	{"check", 'k', 0, 0, "check the settings and exit: 0 if they are right, 2 if not", 0},
+	{"check", 'k', 0, 0, "check the settings and exit: 0 if they are valid, 2 if not", 0},
 	{0},
 };
 
@@ -82,11 +82,11 @@
 
 static settings_t *read_settings(const char *path)
 {
-	g_autoptr(GPtrArray) faults = g_ptr_array_new_with_free_func(g_free);
-	settings_t *settings = settings_read(path, faults);
+	g_autoptr(GPtrArray) errors = g_ptr_array_new_with_free_func(g_free);
+	settings_t *settings = settings_read(path, errors);
 
-	for (guint i = 0; i < faults->len; i++)
-		fprintf(stderr, "%s\n", (const char *)g_ptr_array_index(faults, i));
+	for (guint i = 0; i < errors->len; i++)
+		fprintf(stderr, "%s\n", (const char *)g_ptr_array_index(errors, i));
 	return settings;
 }
 
@@ -96,22 +96,23 @@
 	g_log(NULL, G_LOG_LEVEL_MESSAGE, "%s hlc=%" G_GUINT64_FORMAT, text, at);
 }
 
-/* Callers that go on sending to the last would have their requests cut by the end of the process.
- */
-static bool is_end_near(const daemon_t *self, uint64_t now_us)
+/* Whether to stop accepting requests: a request that arrives from now on could be cut off when the
+ * process is killed. */
+static bool is_grace_time_ending(const daemon_t *self, uint64_t now_us)
 {
 	uint64_t grace_us = (uint64_t)self->settings->grace_s * 1000000;
-	uint64_t since_us = now_us - self->leaving_since_us;
+	uint64_t draining_us = now_us - self->drain_start_us;
 
-	return since_us + LAST_REQUEST_US >= grace_us;
+	return draining_us + LAST_REQUEST_BEFORE_END_US >= grace_us;
 }
 
 /*
- * A planned stop. The balancer and keep-alive callers go on sending until they have heard of it, so
- * the listener stays open until the drain time is over and no request has come for a while; closing
- * it at once would reset connections that the kernel has accepted for us.
+ * Stops the daemon once it has drained. The load balancer and callers on keep-alive connections
+ * send requests until they notice the drain, so the listener stays open until the drain time is
+ * over and no request has arrived for the quiet time. Closing it at once would reset connections
+ * that the kernel has accepted already.
  */
-static void check_stopped(void *ctx)
+static void check_drained(void *ctx)
 {
 	daemon_t *self = ctx;
 	uint64_t now = loop_now_us();
@@ -121,14 +122,14 @@
 					  query_task_idle(self->queries);
 	uint64_t last_us = self->front ? front_task_last_request_us(self->front)
 				       : caller_task_last_request_us(self->callers);
-	bool drained = now - self->leaving_since_us >= (uint64_t)self->settings->drain_ms * 1000;
+	bool drained = now - self->drain_start_us >= (uint64_t)self->settings->drain_ms * 1000;
 	bool quiet = now - last_us >= quiet_us;
-	bool over = now - self->leaving_since_us >=
+	bool over = now - self->drain_start_us >=
 		    (uint64_t)self->settings->grace_s * 1000000 - GRACE_MARGIN_US;
 
 	if (self->front && drained)
 		front_task_close_idle(self->front);
-	if (self->front && drained && is_end_near(self, now))
+	if (self->front && drained && is_grace_time_ending(self, now))
 		front_task_refuse(self->front);
 	if ((drained && quiet && idle) || over) {
 		timeline_add(self->timeline, "event=stopped");
@@ -138,12 +139,12 @@
 	loop_timer_set(self->loop, &self->stop_timer, STOP_CHECK_US);
 }
 
-static void begin_stop(daemon_t *self)
+static void begin_drain(daemon_t *self)
 {
 	if (self->source.leaving)
 		return;
 	self->source.leaving = true;
-	self->leaving_since_us = loop_now_us();
+	self->drain_start_us = loop_now_us();
 	timeline_add(self->timeline, "event=leaving drain_ms=%u", self->settings->drain_ms);
 	if (self->front) {
 		front_task_leave(self->front);
@@ -151,47 +152,48 @@
 		caller_task_leave(self->callers);
 		peer_task_leave(self->peers);
 	}
-	self->stop_timer = (loop_timer_t){.fire = check_stopped, .ctx = self};
+	self->stop_timer = (loop_timer_t){.fire = check_drained, .ctx = self};
 	loop_timer_set(self->loop, &self->stop_timer, STOP_CHECK_US);
 }
 
-/* Only the log level, the stop times and the token change without a restart. */
+/* Only the log level, the stop times, the operators' token and, in forwarding mode, the bound on
+ * retries change without a restart. */
 static void reload(daemon_t *self)
 {
-	settings_t *fresh = read_settings(self->arguments.config);
+	settings_t *updated = read_settings(self->arguments.config);
 
-	if (!fresh) {
+	if (!updated) {
 		g_warning("event=reload-refused reason=settings");
 		return;
 	}
-	log_set_level(fresh->log_level);
-	self->settings->drain_ms = fresh->drain_ms;
-	self->settings->quiet_ms = fresh->quiet_ms;
-	self->settings->grace_s = fresh->grace_s;
+	log_set_level(updated->log_level);
+	self->settings->drain_ms = updated->drain_ms;
+	self->settings->quiet_ms = updated->quiet_ms;
+	self->settings->grace_s = updated->grace_s;
 	if (self->front)
-		front_task_configure(self->front, fresh);
+		front_task_configure(self->front, updated);
 	g_free(self->settings->operators_token);
-	self->settings->operators_token = g_steal_pointer(&fresh->operators_token);
-	settings_free(fresh);
+	self->settings->operators_token = g_steal_pointer(&updated->operators_token);
+	settings_free(updated);
 	timeline_add(self->timeline, "event=reloaded");
 }
 
-/* The file may change without a signal. */
-static void check_file(void *ctx)
+/* Reloads the settings when the file has changed, because it can change without a signal. */
+static void check_settings_file(void *ctx)
 {
 	daemon_t *self = ctx;
 	struct stat now;
 
 	loop_timer_set(self->loop, &self->file_timer, FILE_CHECK_US);
 	if (stat(self->arguments.config, &now))
-		return; /* being replaced: the next look sees the new one */
-	if (now.st_mtim.tv_sec == self->file_seen.st_mtim.tv_sec &&
-	    now.st_mtim.tv_nsec == self->file_seen.st_mtim.tv_nsec &&
-	    now.st_size == self->file_seen.st_size)
+		return; /* the file is being replaced: the next check reads the new one */
+	if (now.st_mtim.tv_sec == self->file_stat.st_mtim.tv_sec &&
+	    now.st_mtim.tv_nsec == self->file_stat.st_mtim.tv_nsec &&
+	    now.st_size == self->file_stat.st_size)
 		return;
-	if (self->file_seen.st_size)
+	if (self->file_stat.st_size)
 		reload(self);
-	self->file_seen = now;
+	self->file_stat = now;
 }
 
 static void on_signal(void *ctx, int number)
@@ -201,14 +203,14 @@
 	if (number == SIGHUP)
 		reload(self);
 	else
-		begin_stop(self);
+		begin_drain(self);
 }
 
-static void on_woke(void *ctx, uint64_t still_us)
+static void on_resumed(void *ctx, uint64_t suspended_us)
 {
 	daemon_t *self = ctx;
 
-	timeline_add(self->timeline, "event=woke still_us=%" G_GUINT64_FORMAT, still_us);
+	timeline_add(self->timeline, "event=woke still_us=%" G_GUINT64_FORMAT, suspended_us);
 	if (self->front)
 		front_task_refresh(self->front);
 }
@@ -282,10 +284,10 @@
 		     self.settings->data_centre);
 	if (!(self.settings->forwards ? start_front(&self) : start_tasks(&self)))
 		return 1;
-	self.file_timer = (loop_timer_t){.fire = check_file, .ctx = &self};
-	check_file(&self);
+	self.file_timer = (loop_timer_t){.fire = check_settings_file, .ctx = &self};
+	check_settings_file(&self);
 	loop_set_iteration_end(self.loop, log_flush, NULL);
-	loop_set_resumed(self.loop, on_woke, &self);
+	loop_set_resumed(self.loop, on_resumed, &self);
 	loop_run(self.loop, on_signal, &self);
 	log_flush(NULL);
 	return 0;
