--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -136,7 +136,7 @@
 {
 	const active_config_t *adoption = query_task_active_config(task->source->queries);
 	err_t err = {0};
-	propose_t *propose = propose_parse(http_exchange_body(exchange), &err);
+	propose_request_t *propose = propose_parse(http_exchange_body(exchange), &err);
 	g_autofree char *detail = NULL;
 
 	if (!propose) {
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -104,8 +104,8 @@
 	sub->port = attempt->upstream->port;
 	sub->connections = attempt->upstream->share;
 	sub->method = once ? "POST" : "GET";
-	sub->path = once ? g_strdup("/action") : search_sub_path(attempt, loop_now_us());
-	sub->headers = once ? action_sub_headers(attempt->query) : NULL;
+	sub->path = once ? g_strdup("/action") : search_subrequest_path(attempt, loop_now_us());
+	sub->headers = once ? action_subrequest_headers(attempt->query) : NULL;
 	sub->body = once ? g_strdup(request->body) : NULL;
 	/*
 	 * A keep-alive connection may have failed silently: the outcome of an action sent on it
