--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -18,7 +18,7 @@
 for row in "${ABLATIONS[@]}" "${MUTANTS[@]}"; do
 	file=${row#*|} file=${file%%|*}
 	case $file in src/core/part.c | src/core/forward*.c | src/core/placement.c | src/core/shedding.c | \
-		src/core/yield.c | src/core/sighting.c | src/core/sub.c | src/core/searcher.c | \
+		src/core/failure_rate.c | src/core/observation.c | src/core/subrequest.c | src/core/searcher.c | \
 		src/core/retry_*.c | src/core/connection_share.c | src/core/registry.c | src/tasks/link_task.c) ;; *) continue ;; esac
 	case $row in *"$text"*) rows+=("$row") ;; esac
 done
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,7 +1,7 @@
 /*
  * Configuration: two operators race through two VMs; two more VMs take up what they hear.
  *
- * Follows src/core/proposal.c and adoption.c. Reads may be stale, answers lost, VMs restarted (they
+ * Follows src/core/proposal.c and active_config.c. Reads may be stale, answers lost, VMs restarted (they
  * forget what was in force and start at nothing), and peers pass on what they have.
  *
  * Promises: what is in force on a VM never goes back while it runs; an operator who was told
--- a/spec/era.pml
+++ b/spec/era.pml
@@ -3,7 +3,7 @@
  * again. One object, an evacuation, is written by an operator, taken back perhaps, and written again after
  * the return. A VM watches the store; another hears of it from that one, or from one that is behind.
  *
- * Follows src/core/store_era.c, src/core/evacuation.c, src/tasks/follower.c and supply_task.c. Replies may
+ * Follows src/core/store_era.c, src/core/evacuation.c, src/tasks/follower.c and store_sync_task.c. Replies may
  * be on their way while the store comes back; the era may be heard of first by another kind's reply.
  *
  * Promises: a VM that knows the evacuation never drops it before the operator takes it back; once nothing
--- a/spec/feed.pml
+++ b/spec/feed.pml
@@ -2,7 +2,7 @@
  * The feed: a VM that watches the store takes a feed, and may lose it again. The configuration is too
  * large to be told, so the feeder only announces that it has changed.
  *
- * Follows src/core/follow.c and src/core/hearing_links.c. The feeder may end at any moment, and messages
+ * Follows src/core/list_watch.c and src/core/store_sync_links.c. The feeder may end at any moment, and messages
  * may be late; a read of the list takes its time, and sees the store as it is at its end.
  *
  * Promise: once nothing more happens, the VM knows the configuration that the store has.
@@ -46,7 +46,7 @@
 proctype vm()
 {
 	bool following = true;            /* as hearing keeps it */
-	bool watches = true, lists = true, owed = false; /* as follow.c does */
+	bool watches = true, lists = true, owed = false; /* as list_watch.c does */
 
 	do
 	:: atomic { lists -> known = version; lists = false; owed = false }
--- a/src/core/adoption.c
+++ b/src/core/active_config.c
@@ -1,8 +1,8 @@
 /**
- * @file adoption.c
- * See adoption.h. spec/config.pml is its model.
+ * @file active_config.c
+ * See active_config.h. spec/config.pml is its model.
  */
-#include "core/adoption.h"
+#include "core/active_config.h"
 
 uint64_t active_config_number(const active_config_t *active)
 {
--- a/src/core/adoption.h
+++ b/src/core/active_config.h
@@ -1,10 +1,10 @@
 /**
- * @file adoption.h
+ * @file active_config.h
  * The configuration in force on this VM. It is replaced only by one with a higher number, whichever
  * source that comes from.
  */
-#ifndef DS_ADOPTION_H
-#define DS_ADOPTION_H
+#ifndef DS_ACTIVE_CONFIG_H
+#define DS_ACTIVE_CONFIG_H
 
 #include "core/config.h"
 
--- a/src/core/engine_private.h
+++ b/src/core/engine_private.h
@@ -1,8 +1,8 @@
 /**
  * @file engine_private.h
  * Declarations shared by the engine's source files: engine.c (requests), dispatch.c (sub-requests),
- * restart.c (changes of versions), news.c (status reports of searchers), service.c (runtime state
- * of a service).
+ * restart.c (changes of versions), upstream_status.c (status reports of searchers), service.c
+ * (runtime state of a service).
  */
 #ifndef DS_ENGINE_PRIVATE_H
 #define DS_ENGINE_PRIVATE_H
@@ -54,7 +54,7 @@
 void engine_action_ended(engine_t *engine, query_t *query, refusal_t refusal, ran_t ran,
 			 uint64_t now_us);
 
-/* news.c */
+/* upstream_status.c */
 
 /** Note a call from outside at @p now_us; detects that the process was paused before it. */
 void engine_enter(engine_t *engine, uint64_t now_us);
--- a/src/core/yield.c
+++ b/src/core/failure_rate.c
@@ -1,8 +1,8 @@
 /**
- * @file yield.c
- * See yield.h.
+ * @file failure_rate.c
+ * See failure_rate.h.
  */
-#include "core/yield.h"
+#include "core/failure_rate.h"
 
 #include <math.h>
 
--- a/src/core/yield.h
+++ b/src/core/failure_rate.h
@@ -1,5 +1,5 @@
 /**
- * @file yield.h
+ * @file failure_rate.h
  * The failure rate of a searcher: the share of its sub-requests that it refuses, fails or loses.
  *
  * A searcher may look healthy and still refuse or fail a share of its sub-requests, or lose their
@@ -9,8 +9,8 @@
  * were served in time when a failure only made its searcher avoided for a moment, and 99 % with the
  * failure rate (make loads, errors).
  */
-#ifndef DS_YIELD_H
-#define DS_YIELD_H
+#ifndef DS_FAILURE_RATE_H
+#define DS_FAILURE_RATE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/core/feed_book.c
+++ b/src/core/feed_cache.c
@@ -1,8 +1,8 @@
 /**
- * @file feed_book.c
- * See feed_book.h.
+ * @file feed_cache.c
+ * See feed_cache.h.
  */
-#include "core/feed_book.h"
+#include "core/feed_cache.h"
 
 /** A cached object. */
 typedef struct cached_object_t {
--- a/src/core/feed_book.h
+++ b/src/core/feed_cache.h
@@ -1,9 +1,9 @@
 /**
- * @file feed_book.h
+ * @file feed_cache.h
  * A feeder's cache of the objects of one kind, as text, to be sent to new subscribers.
  */
-#ifndef DS_FEED_BOOK_H
-#define DS_FEED_BOOK_H
+#ifndef DS_FEED_CACHE_H
+#define DS_FEED_CACHE_H
 
 #include "core/feed_message.h"
 
--- a/src/core/forward.h
+++ b/src/core/forward.h
@@ -14,7 +14,7 @@
 #include "core/placement.h"
 #include "core/poison.h"
 #include "core/routing.h"
-#include "core/sighting.h"
+#include "core/observation.h"
 #include "core/timers.h"
 
 typedef struct forwarder_t forwarder_t;
--- a/src/core/forward_end.c
+++ b/src/core/forward_outcome.c
@@ -1,5 +1,5 @@
 /**
- * @file forward_end.c
+ * @file forward_outcome.c
  * Names and HTTP statuses of the outcomes of a forwarded request. See forward.h.
  */
 #include "core/forward.h"
--- a/src/core/follow.c
+++ b/src/core/list_watch.c
@@ -1,8 +1,8 @@
 /**
- * @file follow.c
- * See follow.h.
+ * @file list_watch.c
+ * See list_watch.h.
  */
-#include "core/follow.h"
+#include "core/list_watch.h"
 
 void list_watch_start(list_watch_t *list_watch)
 {
--- a/src/core/follow.h
+++ b/src/core/list_watch.h
@@ -1,10 +1,10 @@
 /**
- * @file follow.h
+ * @file list_watch.h
  * Decides a VM's next request to the platform's store for one kind of objects: its whole list, a
  * watch for changes, or nothing because a feeder relays the changes.
  */
-#ifndef DS_FOLLOW_H
-#define DS_FOLLOW_H
+#ifndef DS_LIST_WATCH_H
+#define DS_LIST_WATCH_H
 
 #include <stdbool.h>
 
--- a/src/core/sighting.c
+++ b/src/core/observation.c
@@ -1,8 +1,8 @@
 /**
- * @file sighting.c
- * See sighting.h.
+ * @file observation.c
+ * See observation.h.
  */
-#include "core/sighting.h"
+#include "core/observation.h"
 
 /* An answer is unexpected if it takes this many times the expected latency, or less than that
  * fraction of it. Larger than the difference between routes of one service, and well below the
--- a/src/core/sighting.h
+++ b/src/core/observation.h
@@ -1,5 +1,5 @@
 /**
- * @file sighting.h
+ * @file observation.h
  * What a VM has just observed of a searcher, shared with the other VMs of its data centre.
  *
  * With many VMs, each sends to a given searcher about once a second. On its own, each VM needs
@@ -8,8 +8,8 @@
  * results are shared. VMs of one data centre have the same network path to a searcher, so what one
  * measures holds for all.
  */
-#ifndef DS_SIGHTING_H
-#define DS_SIGHTING_H
+#ifndef DS_OBSERVATION_H
+#define DS_OBSERVATION_H
 
 #include "core/placement.h"
 
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -10,7 +10,7 @@
 #ifndef DS_PLAN_H
 #define DS_PLAN_H
 
-#include "core/adoption.h"
+#include "core/active_config.h"
 #include "core/engine.h"
 
 typedef enum plan_verb_t {
--- a/src/core/told_load.h
+++ b/src/core/reported_load.h
@@ -1,9 +1,9 @@
 /**
- * @file told_load.h
+ * @file reported_load.h
  * The load that a searcher reports with its replies.
  */
-#ifndef DS_TOLD_LOAD_H
-#define DS_TOLD_LOAD_H
+#ifndef DS_REPORTED_LOAD_H
+#define DS_REPORTED_LOAD_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/core/searcher.h
+++ b/src/core/searcher.h
@@ -5,8 +5,8 @@
 #ifndef DS_SEARCHER_H
 #define DS_SEARCHER_H
 
-#include "core/told_load.h"
-#include "core/yield.h"
+#include "core/reported_load.h"
+#include "core/failure_rate.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/core/hearing.c
+++ b/src/core/store_sync.c
@@ -1,8 +1,8 @@
 /**
- * @file hearing.c
- * See hearing.h.
+ * @file store_sync.c
+ * See store_sync.h.
  */
-#include "core/hearing_private.h"
+#include "core/store_sync_private.h"
 
 /* With this wait, the store answers a watch at once, also when nothing has changed. */
 #define PROBE_WAIT_MS 1
--- a/src/core/hearing.h
+++ b/src/core/store_sync.h
@@ -1,5 +1,5 @@
 /**
- * @file hearing.h
+ * @file store_sync.h
  * Keeps a VM's copy of the platform's store in sync, and chooses the source that it comes from.
  *
  * There are three sources: this VM watches the store itself; a feeder, which watches the store,
@@ -12,8 +12,8 @@
  * The caller passes in the time and a seed; calls to the store and links to other VMs are made by
  * callbacks. A callback must not call into this module before it returns.
  */
-#ifndef DS_HEARING_H
-#define DS_HEARING_H
+#ifndef DS_STORE_SYNC_H
+#define DS_STORE_SYNC_H
 
 #include "core/feed_timing.h"
 #include "core/vm.h"
--- a/src/core/hearing_links.c
+++ b/src/core/store_sync_links.c
@@ -1,8 +1,8 @@
 /**
- * @file hearing_links.c
- * Links to feeders and backup feeders, in use or being tried. See hearing.h.
+ * @file store_sync_links.c
+ * Links to feeders and backup feeders, in use or being tried. See store_sync.h.
  */
-#include "core/hearing_private.h"
+#include "core/store_sync_private.h"
 
 /* After all feeders failed, the store is watched for this time before the next feeder is tried;
  * random, so that VMs do not all switch at once. */
--- a/src/core/hearing_private.h
+++ b/src/core/store_sync_private.h
@@ -1,13 +1,13 @@
 /**
- * @file hearing_private.h
- * Shared by the modules behind hearing.h: calls to the store (hearing.c), and links to feeders
- * (hearing_links.c).
+ * @file store_sync_private.h
+ * Shared by the modules behind store_sync.h: calls to the store (store_sync.c), and links to
+ * feeders (store_sync_links.c).
  */
-#ifndef DS_HEARING_PRIVATE_H
-#define DS_HEARING_PRIVATE_H
+#ifndef DS_STORE_SYNC_PRIVATE_H
+#define DS_STORE_SYNC_PRIVATE_H
 
-#include "core/follow.h"
-#include "core/hearing.h"
+#include "core/list_watch.h"
+#include "core/store_sync.h"
 #include "core/timers.h"
 
 /** The state of one kind of objects. */
@@ -73,7 +73,7 @@
 /** A feeder relays changes from now on; announced objects are still read from the store. */
 void store_sync_stop_watching(store_sync_t *sync);
 
-/** Set the callbacks of the timers of hearing_links.c. */
+/** Set the callbacks of the timers of store_sync_links.c. */
 void store_sync_links_init(store_sync_t *sync);
 /** Try the next backup, unless the store or the feed works or another candidate is being tried. */
 void store_sync_try_backup(store_sync_t *sync, uint64_t now_us);
--- a/src/core/sub.c
+++ b/src/core/subrequest.c
@@ -1,5 +1,5 @@
 /**
- * @file sub.c
+ * @file subrequest.c
  * A sub-request and its reply. See forward.h.
  */
 #include "core/forward_private.h"
--- a/src/core/news.c
+++ b/src/core/upstream_status.c
@@ -1,5 +1,5 @@
 /**
- * @file news.c
+ * @file upstream_status.c
  * Status reports of searchers, from health pages, replies and peers, and the detection of pauses of
  * this process, after which the reports are outdated.
  */
--- a/src/queries/front_metrics.h
+++ b/src/queries/front_metrics.h
@@ -10,7 +10,7 @@
 #include "tasks/link_task.h"
 #include "tasks/platform_task.h"
 #include "tasks/store_reader.h"
-#include "tasks/supply_task.h"
+#include "tasks/store_sync_task.h"
 
 /** The modules whose counters are written; borrowed for the call. */
 typedef struct front_metrics_sources_t {
--- a/src/tasks/feed_server.c
+++ b/src/tasks/feed_server.c
@@ -4,7 +4,7 @@
  */
 #include "tasks/feed_server.h"
 
-#include "core/feed_book.h"
+#include "core/feed_cache.h"
 #include "core/feed_choice.h"
 #include "core/framing.h"
 #include "net/sock.h"
--- a/src/tasks/follower.h
+++ b/src/tasks/follower.h
@@ -1,8 +1,8 @@
 /**
  * @file follower.h
  * Runs list and watch calls to the platform's store for one kind of object, and passes on the
- * objects received: a complete list, then changes. core/hearing.h decides which call to send, and
- * when.
+ * objects received: a complete list, then changes. core/store_sync.h decides which call to send,
+ * and when.
  *
  * While the store does not answer, known objects are kept; once it has recovered, the watch
  * continues from the same revision.
@@ -10,7 +10,7 @@
 #ifndef DS_FOLLOWER_H
 #define DS_FOLLOWER_H
 
-#include "core/hearing.h"
+#include "core/store_sync.h"
 #include "store.h"
 #include "tasks/platform_task.h"
 
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -17,7 +17,7 @@
 #include "tasks/poison_task.h"
 #include "tasks/relay.h"
 #include "tasks/store_reader.h"
-#include "tasks/supply_task.h"
+#include "tasks/store_sync_task.h"
 
 #include <string.h>
 
--- a/src/tasks/query_task.h
+++ b/src/tasks/query_task.h
@@ -5,7 +5,7 @@
 #ifndef DS_QUERY_TASK_H
 #define DS_QUERY_TASK_H
 
-#include "core/adoption.h"
+#include "core/active_config.h"
 #include "core/engine.h"
 #include "settings.h"
 #include "tasks/platform_task.h"
--- a/src/tasks/supply_task.c
+++ b/src/tasks/store_sync_task.c
@@ -1,11 +1,11 @@
 /**
- * @file supply_task.c
- * See supply_task.h.
+ * @file store_sync_task.c
+ * See store_sync_task.h.
  */
-#include "tasks/supply_task.h"
+#include "tasks/store_sync_task.h"
 
 #include "core/feed_timing.h"
-#include "core/hearing.h"
+#include "core/store_sync.h"
 #include "tasks/feed_client.h"
 #include "tasks/feed_server.h"
 #include "tasks/follower.h"
--- a/src/tasks/supply_task.h
+++ b/src/tasks/store_sync_task.h
@@ -1,17 +1,17 @@
 /**
- * @file supply_task.h
+ * @file store_sync_task.h
  * Keeps this VM's copy of the store's objects current, by watching the platform's store or by a
  * feed from another VM that watches it. Relays the objects to VMs that subscribe to this one.
  *
  * A feeder may terminate, freeze or lose the store at any moment, and the store may refuse this VM.
- * core/hearing decides which source the VM uses and which calls it sends; this task carries that
+ * core/store_sync decides which source the VM uses and which calls it sends; this task carries that
  * out.
  */
-#ifndef DS_SUPPLY_TASK_H
-#define DS_SUPPLY_TASK_H
+#ifndef DS_STORE_SYNC_TASK_H
+#define DS_STORE_SYNC_TASK_H
 
 #include "settings.h"
-#include "core/sighting.h"
+#include "core/observation.h"
 #include "store.h"
 #include "tasks/member_task.h"
 #include "tasks/platform_task.h"
--- a/standins/bench_core.c
+++ b/standins/bench_core.c
@@ -6,7 +6,7 @@
  * Runs the real engine without sockets; every sub-request is answered immediately. Prints one line
  * of JSON for each measurement.
  */
-#include "core/adoption.h"
+#include "core/active_config.h"
 #include "core/engine.h"
 
 #include <malloc.h>
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -44,7 +44,7 @@
  *   it is sent to
  */
 #include "core/forward.h"
-#include "playbook.h"
+#include "script_runner.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -15,7 +15,7 @@
  *     stand MS                          this VM is suspended until MS
  */
 #include "core/handover.h"
-#include "playbook.h"
+#include "script_runner.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -8,21 +8,21 @@
 MUTANTS=(
 	'other requests share the searcher of a suspect|src/core/placement.c|s/define SHARING_PENALTY_US 150000/define SHARING_PENALTY_US 50000/'
 	'a part is hedged to a searcher that runs a suspect|src/core/part.c|s/!searcher \|\| searcher->probes\)/!searcher)/'
-	'announced objects that the store does not return are not requested from the feeder|src/core/hearing.c|s/if \(sync->feed\)\n\t\tsync->ops->request_announced/if (0)\n\t\tsync->ops->request_announced/'
-	'a new subscriber is sent announced objects whole|src/core/feed_book.c|s/announced \? "" : object->text/object->text/'
-	'a call to a failing store times out only after the wait of a watch|src/core/hearing.c|s/brief = list \|\| sync->failing \|\| kind->failures;/brief = list;/'
-	'postponed kinds are not requested after the store recovers|src/core/hearing.c|s/if \(kind->postponed \|\|/if (0 \&\& (0 ||/; s/kind != answered\)\)\n/kind != answered)))\n/'
-	'calls lost while the store timed out are not repeated|src/core/hearing.c|s/kind->pending \&\& \(sync->timed_out \|\| !kind->config.frequent\)/0/'
+	'announced objects that the store does not return are not requested from the feeder|src/core/store_sync.c|s/if \(sync->feed\)\n\t\tsync->ops->request_announced/if (0)\n\t\tsync->ops->request_announced/'
+	'a new subscriber is sent announced objects whole|src/core/feed_cache.c|s/announced \? "" : object->text/object->text/'
+	'a call to a failing store times out only after the wait of a watch|src/core/store_sync.c|s/brief = list \|\| sync->failing \|\| kind->failures;/brief = list;/'
+	'postponed kinds are not requested after the store recovers|src/core/store_sync.c|s/if \(kind->postponed \|\|/if (0 \&\& (0 ||/; s/kind != answered\)\)\n/kind != answered)))\n/'
+	'calls lost while the store timed out are not repeated|src/core/store_sync.c|s/kind->pending \&\& \(sync->timed_out \|\| !kind->config.frequent\)/0/'
 	'a watch waits for the whole settle time|src/core/feed_timing.c|s/saturating_sub\(settle_ms, WATCH_RECOVERY_MS\)/settle_ms/'
 	'probes have no time-out limit|src/core/feed_timing.c|s/define PROBE_TIMEOUT_MAX_MS 1500/define PROBE_TIMEOUT_MAX_MS 9000/; s/tries_ms \/ 2/tries_ms/'
 	'store checks are rare|src/core/feed_timing.c|s/MIN\(timing.age_max_us,\s*\(uint64_t\)saturating_sub\(tries_ms, probe_ms\) \* 1000\)/4 * timing.age_max_us/'
-	'a feeder that sends no status does not time out|src/core/hearing_links.c|s/store_sync_set_timer\(sync, &sync->candidate_timer, now_us \+ CANDIDATE_TIMEOUT_US\);/;/'
-	'a feed with stale data is kept|src/core/hearing_links.c|s/\trecord_status\(sync, link\);\n\tif \(action/\tif (action/; s/link->last_answer_us \+ feed_age_max_us\(&sync->timing, link->backup\)/UINT64_MAX \/ 2/'
-	'a VM that can not reach the store tries no backup feeder|src/core/hearing_links.c|s/if \(sync->candidate \|\| !needs_backup\(sync\) \|\|/if (1 || sync->candidate ||/'
-	'the feeder that a rejected backup names is not tried|src/core/hearing_links.c|s/if \(link->backup && \*status->from\) \{/if (0) {/'
-	'a backup feed is kept after the store recovers|src/core/hearing_links.c|s/if \(link->backup\)\n\t\tcheck_store_later\(sync, now_us\);//'
-	'a backup candidate keeps feeders from being tried|src/core/hearing_links.c|s/close_feed\(sync, reason\);\n\tstore_sync_close_backup_candidate\(sync, reason\);/close_feed(sync, reason);/'
-	'backups are tried without a pause|src/core/hearing_links.c|s/if \(sync->backups_in_round >= BACKUPS_PER_ROUND\)/if (0)/'
+	'a feeder that sends no status does not time out|src/core/store_sync_links.c|s/store_sync_set_timer\(sync, &sync->candidate_timer, now_us \+ CANDIDATE_TIMEOUT_US\);/;/'
+	'a feed with stale data is kept|src/core/store_sync_links.c|s/\trecord_status\(sync, link\);\n\tif \(action/\tif (action/; s/link->last_answer_us \+ feed_age_max_us\(&sync->timing, link->backup\)/UINT64_MAX \/ 2/'
+	'a VM that can not reach the store tries no backup feeder|src/core/store_sync_links.c|s/if \(sync->candidate \|\| !needs_backup\(sync\) \|\|/if (1 || sync->candidate ||/'
+	'the feeder that a rejected backup names is not tried|src/core/store_sync_links.c|s/if \(link->backup && \*status->from\) \{/if (0) {/'
+	'a backup feed is kept after the store recovers|src/core/store_sync_links.c|s/if \(link->backup\)\n\t\tcheck_store_later\(sync, now_us\);//'
+	'a backup candidate keeps feeders from being tried|src/core/store_sync_links.c|s/close_feed\(sync, reason\);\n\tstore_sync_close_backup_candidate\(sync, reason\);/close_feed(sync, reason);/'
+	'backups are tried without a pause|src/core/store_sync_links.c|s/if \(sync->backups_in_round >= BACKUPS_PER_ROUND\)/if (0)/'
 	'requests leave the regions that their route allows|src/core/placement.c|s/\(!route \|\| route_allows\(route, searcher->region\)\)/1/'
 	'a part that is bound to a region blocks the queue|src/core/forwarder.c|s/ && !forward->route->regions//'
 	'a route bound to no region goes anywhere|src/core/routing.c|s/if \(!route->regions\)\n\t\treturn true;/return true;/'
@@ -101,8 +101,8 @@
 	'parts are left out in the order of the shards|src/core/forwarder.c|s/wait_us\(part, now_us\) > wait_us\(longest, now_us\)/0/'
 	'the wait limit does not shrink for a shard that stays overloaded|src/core/shedding.c|s/define SHED_SHARE_FACTOR 4/define SHED_SHARE_FACTOR 0/'
 	'callers retry before the store has recovered|src/core/retry_after.c|s/if \(store_unreachable && share_us > time_us\)/if (0)/'
-	'an announced change is not read after the switch to a feed|src/core/follow.c|s/list_watch->list_due = list_watch->announced;/list_watch->list_due = false;/'
-	'a VM stops watching the store on an announcement|src/core/follow.c|s/list_watch->announced = true;/list_watch->announced = true;\n\tlist_watch->watching = false;/'
+	'an announced change is not read after the switch to a feed|src/core/list_watch.c|s/list_watch->list_due = list_watch->announced;/list_watch->list_due = false;/'
+	'a VM stops watching the store on an announcement|src/core/list_watch.c|s/list_watch->announced = true;/list_watch->announced = true;\n\tlist_watch->watching = false;/'
 	'a gatherer with an older configuration answers after one with a newer|src/core/handover.c|s/all->version = version;/;/'
 	'an unresponsive gatherer does not time out|src/core/handover.c|s/if \(!handover->accepted\)\n\t\tnext_us/if (0)\n\t\tnext_us/'
 	'an unresponsive gatherer gets new requests|src/core/handover.c|s/handover->gatherer->state = GATHERER_UNRESPONSIVE;/;/'
@@ -128,19 +128,19 @@
 	'a late claim is not released|src/core/engine.c|s/if \(end == CLAIM_ACQUIRED\)\n\t\t\tengine->ops->claim_outcome/if (0)\n\t\t\tengine->ops->claim_outcome/'
 	'a claim holder that was paused sends after its deadline|src/core/engine.c|s/now_us >= query->deadline.at_us \|\| !service->snapshot/!service->snapshot/; s/if \(query->finished\) \{\n\t\t\/\* Answered/if (0) {\n\t\t\/* Answered/'
 	'the health page overrides a reported "leaving"|src/core/upstream.c|s/return !upstream->withdrawn && !upstream->leaving_reported &&/return !upstream->withdrawn \&\&/'
-	'a pause is not detected|src/core/news.c|s/now_us - before_us < PAUSE_MIN_US/1/'
+	'a pause is not detected|src/core/upstream_status.c|s/now_us - before_us < PAUSE_MIN_US/1/'
 	'one searcher may define the whole index|src/core/snapshot.c|s/if \(by_group\[group\].has_versions && !by_group\[group\].holds_candidate\)/if (0)/'
 	'a change of versions is not awaited|src/core/engine.c|s/\|\|\s+restart_wait_for_versions\(engine, query, now_us\)\)/|| 0)/'
 	'no restart at another version|src/core/restart.c|s/if \(!service->snapshot \|\| !covers_more/if (1 || !covers_more/'
 	'no hedge|src/core/dispatch.c|s/!budget_spend\(&service->hedge_budget\)/1/'
 	'no rescue|src/core/dispatch.c|s/if \(!budget_spend\(&service->rescue_budget\)\)/if (1)/'
-	'an older configuration replaces a newer one|src/core/adoption.c|s/if \(number <= active_config_number\(active\)\)/if (0)/'
+	'an older configuration replaces a newer one|src/core/active_config.c|s/if \(number <= active_config_number\(active\)\)/if (0)/'
 	'a proposal that took effect is not found in the history|src/core/proposal.c|s/\tif \(own\) \{/\tif (0) {/'
 	'pending claims wait during an outage|src/core/claims.c|s/claims->failures >= CLAIM_OUTAGE_FAILURES/0/'
 	'an unauthenticated peer is accepted|src/core/frame.c|s/return difference == 0;/return true;/'
 	'a report of an earlier incarnation counts|src/core/registry.c|s/return incarnation && born_ms < incarnation->born_ms;/return false;/'
 	'a late list makes a draining incarnation ready again|src/core/registry.c|s/incarnation->draining = incarnation->draining \|\| entry->draining;/incarnation->draining = entry->draining;/'
-	'an observation of an earlier start is applied to the next|src/core/sighting.c|s/ \|\| searcher->born_ms != observation->born_ms//'
+	'an observation of an earlier start is applied to the next|src/core/observation.c|s/ \|\| searcher->born_ms != observation->born_ms//'
 	'a searcher whose entry became unreadable is still used|src/core/registry.c|s/mark_listed\(registry, id\);\n\tremove_entry\(registry, id\);/mark_listed(registry, id);/'
 	'an outdated update of a member is applied|src/core/gossip.c|s/received->incarnation < member->incarnation \|\|/0 ||/'
 	'the end of a network partition is not detected|src/core/gossip.c|s/!is_known\(gossip, seed\) \|\| g_rand_int_range\(gossip->rand, 0, 10\) == 0/!is_known(gossip, seed)/'
@@ -159,13 +159,13 @@
 	'the end of a chunk is not checked|src/net/http_message.c|s/if \(!scan_chunk_byte\(chunks, data\[i\]\)\)/if (0)/'
 	'a folded header is accepted|src/net/http_message.c|s/return !folded;/return true;/'
 	'all requests are admitted in order of arrival|src/core/gate.c|s/\+\+gate->pick_count % FAIR_PICK_INTERVAL/0/'
-	'a VM that is slow itself shares observations|src/core/sighting.c|s/return filter->unexpected_share < UNEXPECTED_SHARE_MAX &&/return/'
-	'slowness is shared while all VMs connect|src/core/sighting.c|s/\(settled \|\| type == OBSERVATION_HUNG\)/1/'
-	'another VM'"'"'s observation overrides an own answer|src/core/sighting.c|s/else if \(answered_since\(searcher, after_us, now_us\)\)/else if (0)/'
+	'a VM that is slow itself shares observations|src/core/observation.c|s/return filter->unexpected_share < UNEXPECTED_SHARE_MAX &&/return/'
+	'slowness is shared while all VMs connect|src/core/observation.c|s/\(settled \|\| type == OBSERVATION_HUNG\)/1/'
+	'another VM'"'"'s observation overrides an own answer|src/core/observation.c|s/else if \(answered_since\(searcher, after_us, now_us\)\)/else if (0)/'
 	'all VMs connect to searchers in other regions at once|src/core/placement.c|s/define STUCK_REPORTED_PENALTY_US 60000/define STUCK_REPORTED_PENALTY_US 150000/'
 	'the time to connect is shared as slowness|src/core/forwarder.c|s/if \(sub->opens_connection \|\| /if (/'
 	'a refusal hides that the request ran before|src/core/part.c|s/if \(part->reply && part->reply->outcome == SUB_FAILED &&/if (0 \&\&/'
-	'a long request makes its searcher look hung|src/core/sub.c|s/return sub->searcher->last_served_sent_us <= sub->sending.sent_us &&/return/'
+	'a long request makes its searcher look hung|src/core/subrequest.c|s/return sub->searcher->last_served_sent_us <= sub->sending.sent_us &&/return/'
 	'a hedge is sent at once|src/core/part.c|s/if \(now_us < due_us\)/if (0)/'
 	'hedges are sent as early when the budget is nearly used up|src/core/part.c|s/spent \* HEDGE_SPENT_FACTOR/0/'
 	'a route of long requests makes searchers look hung|src/core/route_state.c|s/return state->hang_rate < HANG_RATE_MAX;/return true;/'
@@ -195,15 +195,15 @@
 LIBS="$(pkg-config --libs glib-2.0 jansson libxxhash msgpack) -lcmocka -lm"
 
 # Test programs in the order they are tried, and what each is linked from besides src/core.
-TESTS="forward_test poison_test hearing_test handover_test fleet_test parts_test message_test gossip_test script_test load_test random_test front_random_test front_fleet_test"
+TESTS="forward_test poison_test store_sync_test handover_test fleet_test parts_test message_test gossip_test script_test load_test random_test front_random_test front_fleet_test"
 declare -A SEEN_BY=(
-	[forward_test]='the forwarding scripts' [hearing_test]='the plays of an absent store'
+	[forward_test]='the forwarding scripts' [store_sync_test]='the plays of an absent store'
 	[handover_test]='the scripts of handing over'
 	[fleet_test]='the fleets' [parts_test]='the small parts' [message_test]="the codec's tests"
 	[load_test]='the loads' [poison_test]='the bounds on what is remembered'
 	[front_random_test]='the schedules of forwarding' [front_fleet_test]='the schedules of several VMs'
 	[gossip_test]='the members' [script_test]='the scripts' [random_test]='the schedules')
-declare -A WITH=([forward_test]='playbook' [handover_test]='playbook' [message_test]='net_http_message' [script_test]='world' [random_test]='world'
+declare -A WITH=([forward_test]='script_runner' [handover_test]='script_runner' [message_test]='net_http_message' [script_test]='world' [random_test]='world'
 	[load_test]='load_world' [front_random_test]='front_world' [front_fleet_test]='front_world')
 declare -A ARGS=([random_test]=400 [front_random_test]=400 [front_fleet_test]=100)
 
@@ -212,7 +212,7 @@
 # Everything sound is compiled once; a mutant needs its one file, and a link.
 compile_all() {
 	mkdir -p "$SCRATCH/objects"
-	for file in src/core/*.c src/net/http_message.c tests/world.c tests/load_world.c tests/front_world.c tests/playbook.c $(printf 'tests/%s.c ' $TESTS); do
+	for file in src/core/*.c src/net/http_message.c tests/world.c tests/load_world.c tests/front_world.c tests/script_runner.c $(printf 'tests/%s.c ' $TESTS); do
 		echo "$file $(object_of "$file")"
 	done | xargs -P "$(nproc)" -L 1 sh -c "gcc $CFLAGS -c -o \"\$1\" \"\$0\""
 }
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -9,14 +9,14 @@
 #include <cmocka.h>
 
 #include "core/connection_share.h"
-#include "core/feed_book.h"
+#include "core/feed_cache.h"
 #include "core/feed_choice.h"
 #include "core/feed_message.h"
 #include "core/evacuation.h"
 #include "core/feed_timing.h"
 #include "core/store_era.h"
 #include "core/fingerprint.h"
-#include "core/follow.h"
+#include "core/list_watch.h"
 #include "core/placement.h"
 #include "core/retry_after.h"
 #include "core/top_records.h"
--- a/tests/playbook.c
+++ b/tests/script_runner.c
@@ -1,13 +1,13 @@
 /**
- * @file playbook.c
- * See playbook.h.
+ * @file script_runner.c
+ * See script_runner.h.
  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
 #include <cmocka.h>
 
-#include "playbook.h"
+#include "script_runner.h"
 
 static const script_runner_ops_t *runner_ops;
 
--- a/tests/playbook.h
+++ b/tests/script_runner.h
@@ -1,5 +1,5 @@
 /**
- * @file playbook.h
+ * @file script_runner.h
  * Runs scripts of commands and compares their output with the expected lines, which begin with ">
  * ".
  *
--- a/tests/hearing_test.c
+++ b/tests/store_sync_test.c
@@ -1,9 +1,10 @@
 /**
- * @file hearing_test.c
+ * @file store_sync_test.c
  * The sources that VMs use for the store's data, simulated in virtual time: a store that becomes
- * unreachable in several ways, calls and links with a delay, and VMs that decide by core/hearing.
+ * unreachable in several ways, calls and links with a delay, and VMs that decide by
+ * core/store_sync.
  */
-#include "core/hearing.h"
+#include "core/store_sync.h"
 #include "core/timers.h"
 
 #include <setjmp.h>
--- a/tests/world.h
+++ b/tests/world.h
@@ -9,7 +9,7 @@
 #ifndef DS_TEST_WORLD_H
 #define DS_TEST_WORLD_H
 
-#include "core/adoption.h"
+#include "core/active_config.h"
 #include "core/claims.h"
 #include "core/engine.h"
 #include "core/proposal.h"
