--- a/tests/front_lib.sh
+++ b/tests/front_lib.sh
@@ -1,15 +1,15 @@
-# Sourced by the system tests of a VM that forwards by routes: the stand-in for the users' platform and
-# daemons of their own, ended when the test ends.
+# Sourced by the system tests of VMs that forward by routes. Each test has its own daemons and its own stand-in
+# for the users' platform, which are stopped when the test exits.
 . tests/lib.sh
 STORE=$PORT_BASE CONTROL=$((PORT_BASE + 1)) STORE_SIDE=$((PORT_BASE + 2)) SHARDS_FROM=$((PORT_BASE + 100)) FRONT_FROM=$((PORT_BASE + 300))
 FRONT_PID=()
-# The address at which a VM meets the store, by its index, where that is not $STORE.
+# The port at which a VM (by index) reaches the store, if that is not $STORE.
 STORE_OF=()
 
-# Does an action at the stand-in; prints its counts.
+# users ACTION [ID] [N]: executes a control command of the stand-in and prints its counters.
 users() { curl -s -m 5 "http://127.0.0.1:$CONTROL/do?action=$1&id=${2:-}&n=${3:-}"; }
 
-# What a test says of a VM's size; nothing, or lines of its settings.
+# Prints the settings of a VM's size, if any. Tests override it.
 front_size() { :; }
 
 front_settings() { # index
@@ -50,7 +50,7 @@
 
 is_ready() { [ "$(curl -s -m 1 -o /dev/null -w '%{http_code}' "http://127.0.0.1:$((FRONT_FROM + 10 * $1 + 1))/ready")" = 200 ]; }
 
-# The stand-in, and VMs 0..$1-1, all ready.
+# Starts the stand-in and VMs 0..$1-1, and waits until all of them are ready.
 fronts_start() {
 	local i
 	"$BUILD/standin-users-platform" --store "$STORE" --side "$STORE_SIDE" --control "$CONTROL" --searchers "$SHARDS_FROM" \
@@ -59,13 +59,13 @@
 	wait_until users none
 	for ((i = 0; i < $1; i++)); do front_start "$i"; done
 	for ((i = 0; i < $1; i++)); do wait_until is_ready "$i"; done
-	# The budget for second tries is shared by the VMs that are known.
+	# The VMs share the budget for extra sub-requests, so each must know how many VMs there are.
 	for ((i = 0; i < $1; i++)); do wait_until knows_vms "$i"; done
 }
 
 knows_vms() { [ "$(metric dogwoodsaddle_vms "$1")" -ge 1 ]; }
 
-# find ID [curl arguments]: a gather at VM 0; headers go to $RUN/head, the body to standard output.
+# find_all ID [curl arguments]: sends a gather to VM 0; headers go to $RUN/head, the body to standard output.
 find_all() {
 	local id=$1
 	shift
@@ -81,14 +81,14 @@
 status() { head -n 1 "$RUN/head" | cut -d' ' -f2; }
 header() { tr -d '\r' <"$RUN/head" | grep -i "^$1:" | head -n 1 | cut -d' ' -f2-; }
 metric() { curl -s -m 2 "http://127.0.0.1:$((FRONT_FROM + 10 * ${2:-0} + 2))/metrics" | grep -F "$1" | head -n 1 | awk '{print $2}'; }
-# Whether VMs 0..$2-1 have the configuration $1 in force.
+# Succeeds if VMs 0..$2-1 have version $1 of the configuration in force.
 all_configured() { # version count
 	local i
 	for ((i = 0; i < $2; i++)); do [ "$(metric configuration_version "$i")" = "$1" ] || return 1; done
 }
 now_ms() { date +%s%3N; }
 sleep_until_ms() { sleep "$(awk -v left=$(($1 - $(now_ms))) 'BEGIN {printf "%.3f", (left > 0 ? left : 0) / 1000}')"; }
-# attempt VM HOST PATH [curl arguments]: one attempt of a caller, with an id of its own.
+# attempt VM HOST PATH [curl arguments]: sends one attempt of a caller, with a new request id.
 ATTEMPTS=0 ATTEMPT=attempt
 attempt() {
 	local vm=$1 host=$2 path=$3
@@ -97,6 +97,6 @@
 	curl -s -m 5 -D "$RUN/head" -o "$RUN/body" -H "Host: $host" -H "Dogwoodsaddle-Request-Id: $ATTEMPT-$ATTEMPTS" \
 		-H 'Dogwoodsaddle-Request-Deadline: 1000' "$@" "http://127.0.0.1:$((FRONT_FROM + 10 * vm))$path"
 }
-# crashes PATH ended|reached|late: searchers that ended under it; attempts that reached one, and those that did so
-# long after the third had ended.
+# crashes PATH ended|reached|late: prints how many searchers crashed while they ran PATH (ended), how many attempts
+# reached a searcher (reached), and how many did so long after the third crash (late).
 crashes() { users none | jq ".crashes[\"$1\"].$2 // 0"; }
--- a/tests/lib.sh
+++ b/tests/lib.sh
@@ -1,17 +1,17 @@
-# Sourced by the system tests: a site of their own, ended when the test ends.
+# Sourced by the system tests. Each test has its own site, which is stopped when the test exits.
 set -u
 RUN=$(mktemp -d)
 PORT_BASE=${PORT_BASE:-12000}
 . scripts/site.sh
 trap 'site_stop; rm -rf "$RUN"' EXIT
-# A test that fails leaves its logs in KEEP_LOGS, if that names a folder.
-bad() {
-	echo "WRONG: $*"
+# Prints a message and fails the test. If KEEP_LOGS names a directory, the logs are copied to it.
+fail() {
+	echo "check failed: $*"
 	[ -z "${KEEP_LOGS:-}" ] || { mkdir -p "$KEEP_LOGS" && cp -r "$RUN" "$KEEP_LOGS/"; }
 	exit 1
 }
 
-# The load tool's arguments that name every VM of the site.
+# Prints the target arguments of the load generator for every VM of the site.
 all_targets() {
 	local i
 	for ((i = 0; i < ${#VMS[@]}; i++)); do
@@ -19,12 +19,12 @@
 	done
 }
 
-# A request that must be refused: status, problem type, then curl arguments. Nothing may have run.
+# expect STATUS TYPE [curl arguments]: sends a request that must be rejected with this status and problem type, as not run.
 expect() {
 	local status=$1 type=$2 out
 	shift 2
 	out=$(curl -s -m 8 -w '\n%{http_code}' "$@")
-	[ "${out##*$'\n'}" = "$status" ] || bad "wanted $status, got: $out ($*)"
+	[ "${out##*$'\n'}" = "$status" ] || fail "expected status $status, got: $out ($*)"
 	jq -e --arg t "$type" '.type == $t and .ran == "no"' <<<"${out%$'\n'*}" >/dev/null ||
-		bad "wanted type $type and ran no, got: $out ($*)"
+		fail "expected type $type and ran=no, got: $out ($*)"
 }
--- a/tests/run-all.sh
+++ b/tests/run-all.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Everything CI checks, in order. KNOWN-RED.txt names tests that fail for a real fault still open.
+# Runs all checks of CI in order. KNOWN-RED.txt lists the tests that fail because of a known open fault.
 set -eu
 cd "$(dirname "$0")/.."
 make --no-print-directory lint
 make --no-print-directory spec
 make --no-print-directory unit
 make --no-print-directory system
-# Real processes under faults: the seeds that failed once. `make soak` runs many with fresh ones.
+# Real processes under faults, with the seeds of seeds.txt. `make soak` runs more seeds, new ones each time.
 grep -v '^#' tests/soak/seeds.txt | while read -r seed seconds _; do
 	BUILD=build tests/soak/run.sh "$seed" "$seed" "$seconds" </dev/null || exit 1
 done
--- a/tests/run-system.sh
+++ b/tests/run-system.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tests with real processes on loopback. Each prints one line; none judges speed.
-# One named in KNOWN-RED.txt is run and shown, and does not fail the run.
+# Runs the tests that start real processes on loopback. Prints one line a test; no test checks performance.
+# A failure of a test that KNOWN-RED.txt lists is printed, but does not fail the run.
 set -u
 cd "$(dirname "$0")/.."
 passed=0 failed=0 red=0
--- a/tests/run-unit.sh
+++ b/tests/run-unit.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Tests without sockets: decided by their inputs and seeds alone.
+# Runs the tests that use no sockets. Their results depend on their inputs and seeds only.
 set -eu
 cd "$(dirname "$0")/.."
 "$BUILD/script_test"
--- a/tests/soak/front_soak.sh
+++ b/tests/soak/front_soak.sh
@@ -43,7 +43,7 @@
 STORE=$STORE_DOOR
 wait_until users none
 for ((i = 0; i < VMS_RUN; i++)); do front_start "$i"; done
-for ((i = 0; i < VMS_RUN; i++)); do wait_until is_ready "$i" || bad "seed $SEED: VM $i is not ready at the start"; done
+for ((i = 0; i < VMS_RUN; i++)); do wait_until is_ready "$i" || fail "seed $SEED: VM $i is not ready at the start"; done
 
 # What the merge of these shards (numbers) must be: the stand-in's records, greatest first.
 merged() {
@@ -172,13 +172,13 @@
 wait "${callers[@]}"
 for ((i = 0; i < VMS_RUN; i++)); do
 	kill -CONT "${FRONT_PID[$i]}" 2>/dev/null
-	wait_until is_up "$i" || bad "seed $SEED: VM $i is not ready at the end: $(tail -n 3 "$RUN/front-$i.log")"
+	wait_until is_up "$i" || fail "seed $SEED: VM $i is not ready at the end: $(tail -n 3 "$RUN/front-$i.log")"
 	served=0
 	for ((n = 0; n < 10; n++)); do
 		[ "$(curl -s -m 3 -o /dev/null -w '%{http_code}' -H 'Host: find.example' -H "Dogwoodsaddle-Request-Id: end$i$n" "http://127.0.0.1:$((FRONT_FROM + 10 * i))/find/x")" = 200 ] && served=$((served + 1))
 		sleep 0.5
 	done
-	[ $served -ge 5 ] || bad "seed $SEED: VM $i served $served of 10 after the faults:$(grep -o "event=answer request=end$i.*" "$RUN/front-$i.log" | grep -o ' outcome=[a-z-]*' | sort | uniq -c | xargs)"
+	[ $served -ge 5 ] || fail "seed $SEED: VM $i served $served of 10 after the faults:$(grep -o "event=answer request=end$i.*" "$RUN/front-$i.log" | grep -o ' outcome=[a-z-]*' | sort | uniq -c | xargs)"
 done
 # Known by now, or soon: each VM is asked a few times, and once the settle time is over a few times more.
 each_crasher() { # times
@@ -194,17 +194,17 @@
 	before=$(users none | jq '[.crashes[].reached] | add')
 	each_crasher 6
 	reached=$(($(users none | jq '[.crashes[].reached] | add') - before))
-	[ $reached -le 6 ] || bad "seed $SEED: two requests that end searchers reached them in $reached of 12 attempts: $(users none | jq -c .crashes)"
+	[ $reached -le 6 ] || fail "seed $SEED: two requests that end searchers reached them in $reached of 12 attempts: $(users none | jq -c .crashes)"
 	for ((i = 0; i < VMS_RUN; i++)); do
 		refused=$(metric 'poison_requests{state="refused"}' "$i")
-		[ "$refused" -le 2 ] || bad "seed $SEED: VM $i refuses $refused requests, of two that end searchers"
+		[ "$refused" -le 2 ] || fail "seed $SEED: VM $i refuses $refused requests, of two that end searchers"
 	done
 fi
 posted=$(users none | jq '.posted')
-jq -e 'all(.[]; . < 2)' <<<"$posted" >/dev/null || bad "seed $SEED: ran more than once: $(jq -c 'with_entries(select(.value > 1))' <<<"$posted")"
+jq -e 'all(.[]; . < 2)' <<<"$posted" >/dev/null || fail "seed $SEED: ran more than once: $(jq -c 'with_entries(select(.value > 1))' <<<"$posted")"
 for id in $(cat "$RUN"/posts.* | awk '$1 == 503 {print $2}'); do
-	jq -e --arg id "$id" 'has($id) | not' <<<"$posted" >/dev/null || bad "seed $SEED: refused as not run, and ran: $id"
+	jq -e --arg id "$id" 'has($id) | not' <<<"$posted" >/dev/null || fail "seed $SEED: refused as not run, and ran: $id"
 done
-[ ! -s "$RUN/wrong" ] || bad "seed $SEED: $(head -n 3 "$RUN/wrong")"
-[ "$(grep -c 200 "$RUN/codes")" -ge 5 ] || bad "seed $SEED: hardly anything was served"
+[ ! -s "$RUN/wrong" ] || fail "seed $SEED: $(head -n 3 "$RUN/wrong")"
+[ "$(grep -c 200 "$RUN/codes")" -ge 5 ] || fail "seed $SEED: hardly anything was served"
 echo "seed $SEED: $(sort "$RUN/codes" | uniq -c | awk '{printf "%s x %s  ", $1, $2}')"
--- a/tests/system/api_errors.sh
+++ b/tests/system/api_errors.sh
@@ -27,18 +27,18 @@
 # A body that never comes is given up with 408, on that connection alone.
 exec 3<>"/dev/tcp/127.0.0.1/$CALLERS_FROM"
 printf 'POST /v1/services/checklist-board/search HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n{' >&3
-curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || bad "others go on"
+curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || fail "others go on"
 read -r -t 8 line <&3
-[[ $line == *408* ]] || bad "wanted 408 for a slow body, got: $line"
+[[ $line == *408* ]] || fail "wanted 408 for a slow body, got: $line"
 exec 3>&-
 
 # Headers beyond the limit cost the connection, not the daemon.
 curl -s -m 3 -o /dev/null -H "X-Big: $(head -c 20000 /dev/zero | tr '\0' x)" "$C/checklist-board/search"
-curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || bad "alive after big headers"
+curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || fail "alive after big headers"
 
 # Operators' paths ask for the token; health and metrics do not.
 A=http://127.0.0.1:$ADMINS_FROM
 expect 401 unauthorized "$A/v1/status"
 expect 401 unauthorized -H 'Authorization: Bearer wrong' "$A/v1/status"
-curl -sf -m 3 "$A/healthz" >/dev/null && curl -sf -m 3 "$A/metrics" >/dev/null || bad "health and metrics are open"
-curl -sf -m 3 -H "Authorization: Bearer $TOKEN" "$A/v1/status" >/dev/null || bad "the token opens status"
+curl -sf -m 3 "$A/healthz" >/dev/null && curl -sf -m 3 "$A/metrics" >/dev/null || fail "health and metrics are open"
+curl -sf -m 3 -H "Authorization: Bearer $TOKEN" "$A/v1/status" >/dev/null || fail "the token opens status"
--- a/tests/system/at_most_once.sh
+++ b/tests/system/at_most_once.sh
@@ -30,11 +30,11 @@
 ran=0
 for name in "${!SEARCHER_CONTROL[@]}"; do
 	[[ $name == reminder-sender-* ]] || continue
-	[ "$(control "$name" '{}' | jq .actions_doubled)" = 0 ] || bad "$name ran a key twice"
+	[ "$(control "$name" '{}' | jq .actions_doubled)" = 0 ] || fail "$name ran a key twice"
 	ran=$((ran + $(control "$name" '{}' | jq .actions)))
 done
 yes=$(grep -c yes "$RUN/told.txt")
 no=$(grep -c ' no no$' "$RUN/told.txt")
-[ $ran -ge "$yes" ] || bad "$yes were told it ran, and $ran ran"
-[ $ran -le $((60 - no)) ] || bad "$no of 60 were told twice that nothing ran, and $ran ran"
-[ "$yes" -gt 20 ] || bad "only $yes of 60 ran: $(cat "$RUN/told.txt")"
+[ $ran -ge "$yes" ] || fail "$yes were told it ran, and $ran ran"
+[ $ran -le $((60 - no)) ] || fail "$no of 60 were told twice that nothing ran, and $ran ran"
+[ "$yes" -gt 20 ] || fail "only $yes of 60 ran: $(cat "$RUN/told.txt")"
--- a/tests/system/caller_leaves.sh
+++ b/tests/system/caller_leaves.sh
@@ -11,4 +11,4 @@
 	done
 	[ $sum -ge 10 ]
 }
-wait_until cancelled || bad "the ten sub-requests were not cancelled"
+wait_until cancelled || fail "the ten sub-requests were not cancelled"
--- a/tests/system/faults.sh
+++ b/tests/system/faults.sh
@@ -17,6 +17,6 @@
 for name in "${!SEARCHER_CONTROL[@]}"; do
 	control "$name" '{"silence_open_connections":true}' >/dev/null
 done
-wait $load || bad "a request was cut, unanswered or wrong: $(cat "$RUN/load.json")"
+wait $load || fail "a request was cut, unanswered or wrong: $(cat "$RUN/load.json")"
 jq -e '[.mix[] | .partial + .refused + .failed] | add == 0' "$RUN/load.json" >/dev/null ||
-	bad "not all whole: $(cat "$RUN/load.json")"
+	fail "not all whole: $(cat "$RUN/load.json")"
--- a/tests/system/front_cold.sh
+++ b/tests/system/front_cold.sh
@@ -7,7 +7,7 @@
 fronts_start 3
 users cold i-shard-0 8000 >/dev/null
 knows() { [ "$(grep -c 'event=searcher-ready searcher=i-shard-0-' "$RUN/front-$1.log")" -ge 4 ]; }
-for vm in 0 1 2; do wait_until knows $vm || bad "VM $vm has not heard that they are cold"; done
+for vm in 0 1 2; do wait_until knows $vm || fail "VM $vm has not heard that they are cold"; done
 ask() { # number
 	local n id="cold-$1" code
 	for ((n = 0; n < 30; n++)); do
@@ -19,11 +19,11 @@
 asking=()
 for i in 1 2 3 4; do ask "$i" & asking+=($!); done
 wait "${asking[@]}"
-[ "$(users none | jq .pressed)" = 0 ] || bad "$(users none | jq .pressed) searchers ended for having been pressed"
-[ "$(grep -c '^200 ' "$RUN/codes")" = 120 ] || bad "callers get $(sort "$RUN/codes" | uniq -c)"
-grep -q '^200 1$' "$RUN/codes" || bad "the cold shard was asked: $(sort "$RUN/codes" | uniq -c)"
+[ "$(users none | jq .pressed)" = 0 ] || fail "$(users none | jq .pressed) searchers ended for having been pressed"
+[ "$(grep -c '^200 ' "$RUN/codes")" = 120 ] || fail "callers get $(sort "$RUN/codes" | uniq -c)"
+grep -q '^200 1$' "$RUN/codes" || fail "the cold shard was asked: $(sort "$RUN/codes" | uniq -c)"
 sleep 8
 for i in 1 2 3; do
 	find_all "warm-$i" >/dev/null
-	[ "$(status)" = 200 ] && [ "$(header Dogwoodsaddle-Missing-Parts)" = 0 ] || bad "warm again: $(cat "$RUN/head")"
+	[ "$(status)" = 200 ] && [ "$(header Dogwoodsaddle-Missing-Parts)" = 0 ] || fail "warm again: $(cat "$RUN/head")"
 done
--- a/tests/system/front_foreign.sh
+++ b/tests/system/front_foreign.sh
@@ -7,10 +7,10 @@
 wait_until all_know 8
 users spoil i-shard-0-here >/dev/null
 wait_until all_know 7
-for i in 1 2 3; do find_all "q$i" >/dev/null; [ "$(status)" = 200 ] || bad "q$i: $(cat "$RUN/head")"; done
+for i in 1 2 3; do find_all "q$i" >/dev/null; [ "$(status)" = 200 ] || fail "q$i: $(cat "$RUN/head")"; done
 for i in 0 1 2 3 4 5; do
-	[ "$(grep -c 'event=searcher-ignored searcher="i-shard-0-here' "$RUN/front-$i.log")" = 1 ] || bad "VM $i logs it once"
-	[ "$(metric dogwoodsaddle_searcher_entries_ignored_total "$i")" -ge 1 ] || bad "VM $i counts it"
+	[ "$(grep -c 'event=searcher-ignored searcher="i-shard-0-here' "$RUN/front-$i.log")" = 1 ] || fail "VM $i logs it once"
+	[ "$(metric dogwoodsaddle_searcher_entries_ignored_total "$i")" -ge 1 ] || fail "VM $i counts it"
 done
 users ready i-shard-0-here >/dev/null
 wait_until all_know 8
--- a/tests/system/front_freeze.sh
+++ b/tests/system/front_freeze.sh
@@ -9,7 +9,7 @@
 	sleep 4.2
 	kill -CONT "${FRONT_PID[0]}"
 	sleep 0.6
-	[ "$(metric dogwoodsaddle_searchers)" = 8 ] || bad "round $round: knows $(metric dogwoodsaddle_searchers) searchers of 8"
+	[ "$(metric dogwoodsaddle_searchers)" = 8 ] || fail "round $round: knows $(metric dogwoodsaddle_searchers) searchers of 8"
 	find_all "f$round" >/dev/null
-	[ "$(status) $(header Dogwoodsaddle-Missing-Parts)" = "200 0" ] || bad "round $round: $(cat "$RUN/head")"
+	[ "$(status) $(header Dogwoodsaddle-Missing-Parts)" = "200 0" ] || fail "round $round: $(cat "$RUN/head")"
 done
--- a/tests/system/front_late_after_silence.sh
+++ b/tests/system/front_late_after_silence.sh
@@ -11,13 +11,13 @@
 	back=$(now_ms)
 	users configure '' $version >/dev/null
 	sleep_until_ms $((back + SETTLE_MS))
-	all_configured $version 2 || bad "$SETTLE_MS ms after a silence of $away_ms: $(metric configuration_version 0) $(metric configuration_version 1), not $version"
+	all_configured $version 2 || fail "$SETTLE_MS ms after a silence of $away_ms: $(metric configuration_version 0) $(metric configuration_version 1), not $version"
 	# Searchers are heard again as well: one that leaves now is known to leave when that is due.
 	users drain i-shard-0-there >/dev/null
 	drained=$(now_ms)
 	sleep_until_ms $((drained + DUE_MS))
 	for ((i = 0; i < 2; i++)); do
-		[ "$(grep -c 'event=searcher-draining ' "$RUN/front-$i.log")" -ge $rounds ] || bad "VM $i sends to a searcher that leaves"
+		[ "$(grep -c 'event=searcher-draining ' "$RUN/front-$i.log")" -ge $rounds ] || fail "VM $i sends to a searcher that leaves"
 	done
 	users born >/dev/null # a start that leaves stays so
 	users ready i-shard-0-there >/dev/null
--- a/tests/system/front_logs.sh
+++ b/tests/system/front_logs.sh
@@ -8,38 +8,38 @@
 
 users hang i-shard-1 >/dev/null
 find_all partial >/dev/null
-[[ $(answer_line partial) == *"outcome=answered status=200"*"missing=1"*"lost=shard-1:sent:i-shard-1-"* ]] || bad "a part is missing: $(answer_line partial)"
+[[ $(answer_line partial) == *"outcome=answered status=200"*"missing=1"*"lost=shard-1:sent:i-shard-1-"* ]] || fail "a part is missing: $(answer_line partial)"
 users ok i-shard-1 >/dev/null
 
 users shed i-single >/dev/null
 get_one refused /get/act/x -X POST -d body >/dev/null
-[[ $(answer_line refused) == *"outcome=rejected status=503"* ]] || bad "refused: $(answer_line refused)"
-[ "$(sub_lines refused | grep -c 'outcome=not-run')" = 2 ] || bad "by both searchers: $(sub_lines refused)"
+[[ $(answer_line refused) == *"outcome=rejected status=503"* ]] || fail "refused: $(answer_line refused)"
+[ "$(sub_lines refused | grep -c 'outcome=not-run')" = 2 ] || fail "by both searchers: $(sub_lines refused)"
 users ok i-single >/dev/null
 sleep 0.1
 
 users foreign i-single >/dev/null
 get_one broken /get/act/x -X POST -d body >/dev/null
-[[ $(answer_line broken) == *"outcome=failed status=502"* ]] || bad "failed: $(answer_line broken)"
-[ "$(sub_lines broken | grep -c 'outcome=unknown')" = 1 ] || bad "by one searcher: $(sub_lines broken)"
+[[ $(answer_line broken) == *"outcome=failed status=502"* ]] || fail "failed: $(answer_line broken)"
+[ "$(sub_lines broken | grep -c 'outcome=unknown')" = 1 ] || fail "by one searcher: $(sub_lines broken)"
 users ok i-single >/dev/null
 
 # The tool goes the same way by itself.
 explain() { "$BUILD/dogwoodsaddle" explain "$1" "$LOGS"; }
 get_one again /get/act/x -X POST -d body >/dev/null
 get_one other /get/act/x -X POST -d other >/dev/null
-[[ $(answer_line again) == *"fingerprint="* ]] || bad "no fingerprint: $(answer_line again)"
+[[ $(answer_line again) == *"fingerprint="* ]] || fail "no fingerprint: $(answer_line again)"
 [ "$(explain again | grep -A 2 'other attempts at the same request' | grep -c 'request=refused\|request=broken')" = 2 ] ||
-	bad "explain does not show the attempts at the same request: $(explain again)"
-[[ $(explain other) != *"other attempts"* ]] || bad "another request passes for an attempt: $(explain other)"
+	fail "explain does not show the attempts at the same request: $(explain again)"
+[[ $(explain other) != *"other attempts"* ]] || fail "another request passes for an attempt: $(explain other)"
 [[ $(explain partial) == *"parts that are missing"*"lost=shard-1:sent"*"searcher i-shard-1-here, sub-requests"*"event=searcher-ready searcher=i-shard-1-here"*"VM front-0 in the"*"event=configuration version=1"* ]] ||
-	bad "explain partial: $(explain partial)"
-[[ $(explain refused) == *"not run: every searcher asked refused it"*"not-run="* ]] || bad "explain refused: $(explain refused)"
-[[ $(explain broken) == *"may have run: the answer was lost"*"unknown=1"* ]] || bad "explain broken: $(explain broken)"
-explain nobody 2>/dev/null && bad "a request that no line names is not explained"
-"$BUILD/dogwoodsaddle" explain x "$RUN/none" 2>&1 | grep -q "can't read" || bad "a log that is not there"
-[ "$("$BUILD/dogwoodsaddle" -r broken timeline "$LOGS" | grep -c request=broken)" = 2 ] || bad "the time line of one request"
-head -c 3000 /dev/urandom | "$BUILD/dogwoodsaddle" timeline - >/dev/null || bad "a log that is no log"
+	fail "explain partial: $(explain partial)"
+[[ $(explain refused) == *"not run: every searcher asked refused it"*"not-run="* ]] || fail "explain refused: $(explain refused)"
+[[ $(explain broken) == *"may have run: the answer was lost"*"unknown=1"* ]] || fail "explain broken: $(explain broken)"
+explain nobody 2>/dev/null && fail "a request that no line names is not explained"
+"$BUILD/dogwoodsaddle" explain x "$RUN/none" 2>&1 | grep -q "can't read" || fail "a log that is not there"
+[ "$("$BUILD/dogwoodsaddle" -r broken timeline "$LOGS" | grep -c request=broken)" = 2 ] || fail "the time line of one request"
+head -c 3000 /dev/urandom | "$BUILD/dogwoodsaddle" timeline - >/dev/null || fail "a log that is no log"
 
 # A daemon whose log goes to a pipe that nobody reads.
 mkfifo "$RUN/pipe"
@@ -51,5 +51,5 @@
 for i in $(seq 1500); do printf 'GET /none/ HTTP/1.1\r\nHost: x\r\n\r\n'; done >"$RUN/requests"
 exec 6<>"/dev/tcp/127.0.0.1/$((FRONT_FROM + 10))"
 cat "$RUN/requests" >&6 &
-[ "$(timeout 20 grep -a -m 1500 -c 'HTTP/1.1 404' <&6)" = 1500 ] || bad "requests wait for the log's reader"
+[ "$(timeout 20 grep -a -m 1500 -c 'HTTP/1.1 404' <&6)" = 1500 ] || fail "requests wait for the log's reader"
 exec 6>&- 5>&-
--- a/tests/system/front_metrics.sh
+++ b/tests/system/front_metrics.sh
@@ -7,8 +7,8 @@
 curl -s -m 2 "http://127.0.0.1:$((FRONT_FROM + 2))/metrics" >"$RUN/metrics"
 served=$(sed -n 's/^dogwoodsaddle_\([a-z_]*\).*/\1/p' "$RUN/metrics" | sed 's/_us_\(bucket\|sum\|count\)$/_us/' | sort -u)
 told=$(sed -n '/^| metric/,/^$/p' docs/OPERATIONS.md | cut -d'|' -f2 | grep -o '`[a-z_]*' | tr -d '`' | grep -v '^dogwoodsaddle\|^$' | sort -u)
-[ "$served" = "$told" ] || bad "served and told differ: $(diff <(echo "$served") <(echo "$told"))"
-has() { grep -qxF "dogwoodsaddle_$1" "$RUN/metrics" || bad "no line $1: $(grep -F "dogwoodsaddle_${1%%[\{ ]*}" "$RUN/metrics" | head -n 5)"; }
+[ "$served" = "$told" ] || fail "served and told differ: $(diff <(echo "$served") <(echo "$told"))"
+has() { grep -qxF "dogwoodsaddle_$1" "$RUN/metrics" || fail "no line $1: $(grep -F "dogwoodsaddle_${1%%[\{ ]*}" "$RUN/metrics" | head -n 5)"; }
 has 'requests_total 4'
 has 'answers_total{outcome="answered"} 4'
 has 'answer_latency_us_count{route="find"} 3'
--- a/tests/system/front_poison_hop.sh
+++ b/tests/system/front_poison_hop.sh
@@ -7,13 +7,13 @@
 }
 fronts_start 6
 has_gatherers() { [ "$(metric dogwoodsaddle_gatherers 0)" = 3 ]; }
-wait_until has_gatherers || bad "VM 0 has $(metric dogwoodsaddle_gatherers 0) gatherers"
+wait_until has_gatherers || fail "VM 0 has $(metric dogwoodsaddle_gatherers 0) gatherers"
 sleep 1
 round() { attempt $((ATTEMPTS % 3)) find.example /find/crash; sleep 1.3; }
 for ((i = 0; i < 6; i++)); do [ "$(crashes /find/crash ended)" -ge 3 ] || round; done
-[ "$(crashes /find/crash ended)" -ge 3 ] || bad "too few searchers ended: $(users none | jq -c .crashes)"
+[ "$(crashes /find/crash ended)" -ge 3 ] || fail "too few searchers ended: $(users none | jq -c .crashes)"
 sleep 5.2
 for ((i = 0; i < 6; i++)); do round; done
-[ "$(crashes /find/crash late)" -le 3 ] || bad "it reached searchers in $(crashes /find/crash late) of 6 attempts after three had ended"
-attempt 0 find.example /find/sound && [ "$(status)" = 200 ] || bad "a sound gather gets $(status)"
-grep -q "gathered_by=" "$RUN/front-0.log" || bad "no gather was handed over"
+[ "$(crashes /find/crash late)" -le 3 ] || fail "it reached searchers in $(crashes /find/crash late) of 6 attempts after three had ended"
+attempt 0 find.example /find/sound && [ "$(status)" = 200 ] || fail "a sound gather gets $(status)"
+grep -q "gathered_by=" "$RUN/front-0.log" || fail "no gather was handed over"
--- a/tests/system/front_sightings.sh
+++ b/tests/system/front_sightings.sh
@@ -5,7 +5,7 @@
 fronts_start 7
 list_fed() { for ((i = 0; i < 7; i++)); do [ "$(metric store_is_fed "$i")" = 1 ] && echo "$i"; done; }
 five_fed() { [ "$(list_fed | wc -l)" -ge 5 ]; }
-wait_until five_fed || bad "five of seven are fed"
+wait_until five_fed || fail "five of seven are fed"
 at() { echo "http://127.0.0.1:$((FRONT_FROM + 10 * $1))/find/x?q=1"; }
 ask() { # vm id
 	curl -s -m 5 -o /dev/null -D "$RUN/head" -H 'Host: find.example' -H "Dogwoodsaddle-Request-Id: $2" \
@@ -18,11 +18,11 @@
 ask "$asker" hung1
 heard() { grep -l 'event=searcher-hangs searcher=i-shard-1-here .*told_by=other-vm' "$RUN"/front-*.log 2>/dev/null | wc -l; }
 told() { [ "$(heard)" -ge 2 ]; }
-wait_until told || bad "$(heard) VMs were told"
+wait_until told || fail "$(heard) VMs were told"
 grep -q 'event=searcher-hangs searcher=i-shard-1-here .*outcome=avoided' "$RUN/front-$asker.log" ||
-	bad "VM $asker does not tell its own log"
+	fail "VM $asker does not tell its own log"
 vm=$(grep -l 'told_by=other-vm' "$RUN"/front-*.log | head -n 1 | sed 's/.*front-\([0-9]\).log/\1/')
 before=$(metric 'sub_requests_total{purpose="hedge"}' "$vm")
 ask "$vm" spared
-[ "$(status) $(header Dogwoodsaddle-Missing-Parts)" = "200 0" ] || bad "VM $vm: $(cat "$RUN/head")"
-[ "$(metric 'sub_requests_total{purpose="hedge"}' "$vm")" = "$before" ] || bad "VM $vm needed a second try"
+[ "$(status) $(header Dogwoodsaddle-Missing-Parts)" = "200 0" ] || fail "VM $vm: $(cat "$RUN/head")"
+[ "$(metric 'sub_requests_total{purpose="hedge"}' "$vm")" = "$before" ] || fail "VM $vm needed a second try"
--- a/tests/system/front_trials.sh
+++ b/tests/system/front_trials.sh
@@ -4,7 +4,7 @@
 fronts_start 3
 attempt 0 get.example /get/crash
 all_told() { for vm in 0 1 2; do [ "$(metric 'poison_requests{state="remembered"}' $vm)" = 1 ] || return 1; done; }
-wait_until all_told || bad "not all VMs were told"
+wait_until all_told || fail "not all VMs were told"
 sleep 1.5 # searchers are back
 before=$(crashes /get/crash reached)
 pids=()
@@ -15,6 +15,6 @@
 done
 wait "${pids[@]}"
 reached=$(($(crashes /get/crash reached) - before))
-[ $reached = 1 ] || bad "$reached of 9 attempts at three VMs reached a searcher"
-[ "$(cat "$RUN"/status-* | grep -c 503)" = 8 ] || bad "the others were not told to come back: $(cat "$RUN"/status-* | xargs)"
-[ "$(cat "$RUN"/front-*.log | grep -c 'event=poison-trial .*outcome=begun')" = 1 ] || bad "not one trial: $(grep -h poison-trial "$RUN"/front-*.log)"
+[ $reached = 1 ] || fail "$reached of 9 attempts at three VMs reached a searcher"
+[ "$(cat "$RUN"/status-* | grep -c 503)" = 8 ] || fail "the others were not told to come back: $(cat "$RUN"/status-* | xargs)"
+[ "$(cat "$RUN"/front-*.log | grep -c 'event=poison-trial .*outcome=begun')" = 1 ] || fail "not one trial: $(grep -h poison-trial "$RUN"/front-*.log)"
--- a/tests/system/front_turned_away.sh
+++ b/tests/system/front_turned_away.sh
@@ -20,15 +20,15 @@
 	sleep 6 # a watch that was waiting is over by now
 	users configure '' $version >/dev/null
 	sleep $APPLY_S
-	all_have $version 0 1 2 3 || bad "turned away ($how): $(versions 4), not $version"
+	all_have $version 0 1 2 3 || fail "turned away ($how): $(versions 4), not $version"
 	users drain i-shard-0-there >/dev/null
 	sleep $APPLY_S
-	[ "$(grep -c 'event=searcher-draining ' "$RUN/front-3.log")" -ge $rounds ] || bad "turned away ($how): sends to a searcher that leaves"
+	[ "$(grep -c 'event=searcher-draining ' "$RUN/front-3.log")" -ge $rounds ] || fail "turned away ($how): sends to a searcher that leaves"
 	users born >/dev/null # a start that leaves stays so
 	users ready i-shard-0-there >/dev/null
 	users side open >/dev/null
 	sleep 4
-	[ "$(metric store_is_fed 3)" = 0 ] || bad "hears the store from another VM though it reaches it"
+	[ "$(metric store_is_fed 3)" = 0 ] || fail "hears the store from another VM though it reaches it"
 done
 # The neighbours start again while it is turned away.
 users side busy >/dev/null
@@ -38,4 +38,4 @@
 for i in 0 1 2; do wait_until is_ready $i; done
 users configure '' 21 >/dev/null
 sleep $APPLY_S
-all_have 21 0 1 2 3 || bad "turned away, others started again: $(versions 4), not 21"
+all_have 21 0 1 2 3 || fail "turned away, others started again: $(versions 4), not 21"
--- a/tests/system/front_turned_away_large.sh
+++ b/tests/system/front_turned_away_large.sh
@@ -8,5 +8,5 @@
 users configure '' 5 >/dev/null
 sleep 3
 for ((i = 0; i < 4; i++)); do
-	[ "$(metric configuration_version "$i")" = 5 ] || bad "VM $i has $(metric configuration_version "$i"), not 5"
+	[ "$(metric configuration_version "$i")" = 5 ] || fail "VM $i has $(metric configuration_version "$i"), not 5"
 done
--- a/tests/system/front_unanswered.sh
+++ b/tests/system/front_unanswered.sh
@@ -17,9 +17,9 @@
 	users drain i-shard-0-there >/dev/null
 	sleep_until_ms "$(later $((silent + SETTLE_MS)) $(($(now_ms) + DUE_MS)))"
 	all_configured $version 3 ||
-		bad "changed $change_after_ms ms after the silence: $(for i in 0 1 2; do metric configuration_version $i; done | xargs), not $version"
+		fail "changed $change_after_ms ms after the silence: $(for i in 0 1 2; do metric configuration_version $i; done | xargs), not $version"
 	for ((i = 0; i < 3; i++)); do
-		[ "$(grep -c 'event=searcher-draining ' "$RUN/front-$i.log")" -ge $rounds ] || bad "VM $i sends to a searcher that leaves"
+		[ "$(grep -c 'event=searcher-draining ' "$RUN/front-$i.log")" -ge $rounds ] || fail "VM $i sends to a searcher that leaves"
 	done
 	users born >/dev/null # a start that leaves stays so
 	users ready i-shard-0-there >/dev/null
--- a/tests/system/planned_stop.sh
+++ b/tests/system/planned_stop.sh
@@ -18,11 +18,11 @@
 sleep 0.5
 timeout 10 head -c 30000 <&3 >"$RUN/slow.txt" &
 slow=$!
-wait "${VM_PID[${VMS[0]}]}" || bad "the VM ended with $?"
+wait "${VM_PID[${VMS[0]}]}" || fail "the VM ended with $?"
 wait $slow
 exec 3>&-
-grep -q '"complete":true' "$RUN/slow.txt" || bad "the slow caller's answer was cut: $(head -c 300 "$RUN/slow.txt")"
-tail -c 2 "$RUN/slow.txt" | grep -q '}' || bad "the slow caller's answer has no end"
-wait $load || bad "a request was cut, unanswered or wrong: $(cat "$RUN/load.json")"
+grep -q '"complete":true' "$RUN/slow.txt" || fail "the slow caller's answer was cut: $(head -c 300 "$RUN/slow.txt")"
+tail -c 2 "$RUN/slow.txt" | grep -q '}' || fail "the slow caller's answer has no end"
+wait $load || fail "a request was cut, unanswered or wrong: $(cat "$RUN/load.json")"
 jq -e '[.mix[] | .partial + .refused + .failed] | add == 0' "$RUN/load.json" >/dev/null ||
-	bad "not all whole: $(cat "$RUN/load.json")"
+	fail "not all whole: $(cat "$RUN/load.json")"
--- a/tests/system/settings.sh
+++ b/tests/system/settings.sh
@@ -4,11 +4,11 @@
 site_describe brodnica
 vm_settings 0
 file=$RUN/zagreb-1.ini
-"$BUILD/dogwoodsaddled" --config "$file" --check || bad "right settings"
+"$BUILD/dogwoodsaddled" --config "$file" --check || fail "right settings"
 sed -i 's/^callers_port.*/callers_port = 70000/; s/^data_centre.*/data_centre = Zagreb!/; s/^hedge/hegde/; s/^token.*/token = short/' "$file"
 echo '[nonsense]' >>"$file"
 "$BUILD/dogwoodsaddled" --config "$file" --check 2>"$RUN/err"
-[ $? = 2 ] || bad "wrong settings end with 2"
+[ $? = 2 ] || fail "wrong settings end with 2"
 sed "s|$file|FILE|" "$RUN/err" | sort >"$RUN/got"
 sort >"$RUN/wanted" <<'EXPECTED'
 FILE:3: [vm] data_centre: must be 1 to 63 of a-z, 0-9 and '-'
@@ -17,7 +17,7 @@
 FILE:20: [policy] hegde: unknown key
 FILE:23: [nonsense] : unknown section; known are vm, listen, platform, operators, peers, front, regions, retries, stop, log and policy
 EXPECTED
-diff "$RUN/wanted" "$RUN/got" || bad "what is told of each fault"
+diff "$RUN/wanted" "$RUN/got" || fail "what is told of each fault"
 "$BUILD/dogwoodsaddled" --config /nonexistent --check 2>/dev/null
-[ $? = 2 ] || bad "a missing file ends with 2"
-"$BUILD/dogwoodsaddled" --version | grep -q '^dogwoodsaddled [0-9]' || bad "--version"
+[ $? = 2 ] || fail "a missing file ends with 2"
+"$BUILD/dogwoodsaddled" --version | grep -q '^dogwoodsaddled [0-9]' || fail "--version"
--- a/tests/system/silent_probes.sh
+++ b/tests/system/silent_probes.sh
@@ -10,5 +10,5 @@
 	done
 	sleep 2.5
 	down=$(cat "$RUN"/*-[12].log | grep -c 'event=upstream-down')
-	[ "$down" = 0 ] || bad "round $round: $down times a sound searcher was taken for down"
+	[ "$down" = 0 ] || fail "round $round: $down times a sound searcher was taken for down"
 done
