--- a/tests/system/front_freeze.sh
+++ b/tests/system/front_freeze.sh
@@ -1,7 +1,7 @@
-# A VM stands still for longer than its watch of the store lasts, then goes on. Callers who ask it get
-# whole answers at once. When it wakes, the reply to the old watch lies ready beside the decision to read
-# everything anew; taken for the first page of the new list it named no searcher, all were dropped, and
-# the VMs that this one feeds dropped them, too.
+# A VM is suspended for longer than its watch of the store lasts, then resumed. Callers get complete answers from it
+# at once. When it resumes, the reply to the old watch is ready to be read while the VM decides to read all lists
+# again. If it took that reply for the first page of the new list, which then names no searcher, it would drop all
+# searchers, and so would the VMs that it feeds.
 . tests/front_lib.sh
 fronts_start 1
 for round in 1 2 3; do
--- a/tests/system/front_input.sh
+++ b/tests/system/front_input.sh
@@ -1,16 +1,16 @@
-# Callers that send what is no request, too much, or too slowly get one clear answer and a closed
-# connection, and harm nobody else; what is smuggled inside a request reaches no searcher.
+# Callers that send invalid, oversized or too slow requests get one error reply and a closed connection, without
+# effect on other callers. A request smuggled inside another one reaches no searcher.
 . tests/front_lib.sh
 fronts_start 1
 
-# raw STATUS BYTES: what one connection is answered.
+# raw STATUS BYTES: sends the bytes over a new connection, which must be answered with this status.
 raw() {
 	local line=""
 	exec 3<>"/dev/tcp/127.0.0.1/$FRONT_FROM"
 	printf "$2" >&3
 	read -r -t 4 line <&3
 	exec 3>&-
-	[[ $line == "HTTP/1.1 $1 "* ]] || fail "wanted $1 for $2, got: $line"
+	[[ $line == "HTTP/1.1 $1 "* ]] || fail "expected status $1 for $2, got: $line"
 }
 H='Host: get.example\r\n'
 raw 400 "POST /get/x HTTP/1.1\r\n${H}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
@@ -27,20 +27,20 @@
 raw 404 "GET /else/ HTTP/1.1\r\n${H}\r\n"
 raw 408 "GET /get/x HTTP/1.1\r\n${H}"
 runs=$(users none | jq '[.runs[]] | add')
-[ "$runs" = 0 ] || fail "a faulty request reached a searcher: $runs"
+[ "$runs" = 0 ] || fail "invalid requests reached searchers: $runs"
 
-# A body in chunks goes on whole, and so do requests sent one after the other without waiting.
+# A chunked body is forwarded completely, and so are pipelined requests.
 get_one q1 /get/x -X POST -H 'Transfer-Encoding: chunked' -d body >/dev/null
-[ "$(status)" = 200 ] || fail "a body in chunks"
+[ "$(status)" = 200 ] || fail "a chunked body gets status $(status)"
 exec 3<>"/dev/tcp/127.0.0.1/$FRONT_FROM"
 printf "GET /get/a HTTP/1.1\r\n${H}Dogwoodsaddle-Request-Id: a\r\n\r\nGET /get/b HTTP/1.1\r\n${H}Dogwoodsaddle-Request-Id: b\r\nConnection: close\r\n\r\n" >&3
 got=$(timeout 3 cat <&3 | tr -d '\r' | grep -a -o 'Signature: .*' | tr '\n' ' ')
 [ "$got" = "Signature: i-single-here.a Signature: i-single-here.b " ] || fail "pipelined: $got"
 exec 3>&-
 
-# One that sends a byte now and then does not hold up the others.
+# A caller whose request arrives slowly does not delay the others.
 exec 4<>"/dev/tcp/127.0.0.1/$FRONT_FROM"
 printf 'GET /get/' >&4
 find_all q2 >/dev/null
-[ "$(status)" = 200 ] || fail "others go on"
+[ "$(status)" = 200 ] || fail "other callers wait for a slow caller"
 exec 4>&-
--- a/tests/system/front_late_after_silence.sh
+++ b/tests/system/front_late_after_silence.sh
@@ -1,4 +1,5 @@
-# Callers are answered by an old configuration: a call that the store swallowed just before its return is waited for.
+# Callers are answered by an old configuration because VMs wait for the answer to a call that the store swallowed just
+# before it recovered.
 . tests/front_lib.sh
 SETTLE_MS=5000 DUE_MS=3000
 fronts_start 2
@@ -12,13 +13,13 @@
 	users configure '' $version >/dev/null
 	sleep_until_ms $((back + SETTLE_MS))
 	all_configured $version 2 || fail "$SETTLE_MS ms after a silence of $away_ms: $(metric configuration_version 0) $(metric configuration_version 1), not $version"
-	# Searchers are heard again as well: one that leaves now is known to leave when that is due.
+	# Changes of searchers must arrive again, too: a searcher that drains now is known to drain within DUE_MS.
 	users drain i-shard-0-there >/dev/null
 	drained=$(now_ms)
 	sleep_until_ms $((drained + DUE_MS))
 	for ((i = 0; i < 2; i++)); do
-		[ "$(grep -c 'event=searcher-draining ' "$RUN/front-$i.log")" -ge $rounds ] || fail "VM $i sends to a searcher that leaves"
+		[ "$(grep -c 'event=searcher-draining ' "$RUN/front-$i.log")" -ge $rounds ] || fail "VM $i does not know that a searcher is draining"
 	done
-	users born >/dev/null # a start that leaves stays so
+	users born >/dev/null # a new start, as a draining incarnation stays draining
 	users ready i-shard-0-there >/dev/null
 done
--- a/tests/system/front_stop.sh
+++ b/tests/system/front_stop.sh
@@ -1,5 +1,5 @@
-# A planned stop: not ready at once, requests on kept and new connections are served to their end with
-# `Connection: close`, then the process ends by itself. A kill and a start again serve as before.
+# A VM is stopped with SIGTERM: it reports not ready at once, serves requests on keep-alive and new connections with
+# `Connection: close`, and then exits. After it is killed and restarted, it serves as before.
 . tests/front_lib.sh
 USERS_ARGS='--work-ms 400' fronts_start 2
 find_all slow >"$RUN/body" &
@@ -7,36 +7,36 @@
 sleep 0.1
 kill -TERM "${FRONT_PID[0]}"
 sleep 0.1
-is_ready 0 && fail "ready while it stops"
-[ "$(get_one late /get/x -w '%{http_code}' -o /dev/null)" = 200 ] || fail "a new connection is served"
-[ "$(header Connection)" = close ] || fail "and told to close"
+is_ready 0 && fail "VM 0 is ready while it drains"
+[ "$(get_one late /get/x -w '%{http_code}' -o /dev/null)" = 200 ] || fail "a new connection is not served while the VM drains"
+[ "$(header Connection)" = close ] || fail "no 'Connection: close' while the VM drains"
 wait $request
-[ -s "$RUN/body" ] || fail "the request that was under way is answered"
+[ -s "$RUN/body" ] || fail "the outstanding request is not answered"
 wait "${FRONT_PID[0]}" || fail "it ends with 0"
-# A caller that goes on sending to the last: towards the end of the grace time it is refused, as not run
-# and with a time to come back, so that the end of the process cuts none of its requests.
+# A caller keeps sending until the VM exits: near the end of the grace time its requests are rejected as not run, with
+# Retry-After, so that no request is aborted when the process exits.
 front_start 0
 wait_until is_ready 0
 kill -TERM "${FRONT_PID[0]}"
 n=0
 while [ "$(get_one "on$n" /get/x -o /dev/null -w '%{http_code}')" = 200 ]; do n=$((n + 1)); done
-[ "$(status)" = 503 ] && [ -n "$(header Retry-After)" ] || fail "refused at the end: $(cat "$RUN/head")"
-grep -q "event=answer request=on$n .*outcome=leaving" "$RUN/front-0.log" || fail "the log says why"
+[ "$(status)" = 503 ] && [ -n "$(header Retry-After)" ] || fail "not 503 with Retry-After at the end of the grace time: $(cat "$RUN/head")"
+grep -q "event=answer request=on$n .*outcome=leaving" "$RUN/front-0.log" || fail "the log does not give the reason of the rejection"
 wait "${FRONT_PID[0]}" || fail "it ends with 0"
-is_ready 1 || fail "the other one goes on"
+is_ready 1 || fail "VM 1 is not ready while VM 0 stops"
 kill -KILL "${FRONT_PID[1]}"
 wait "${FRONT_PID[1]}" 2>/dev/null
 front_start 0
 wait_until is_ready 0
 find_all again >/dev/null
-[ "$(status)" = 200 ] || fail "a start after a kill"
+[ "$(status)" = 200 ] || fail "status $(status) after a kill and a restart"
 
-# The settings file changes: with a signal or without one it is in force, and a faulty one is refused,
-# with what was in force kept.
+# The settings file changes: it is reloaded with or without a signal. An invalid file is rejected, and the settings in
+# force stay.
 sed -i 's/^constant = .*/constant = 60/' "$RUN/front-0.ini"
-wait_until grep -q 'event=reloaded' "$RUN/front-0.log" || fail "a silent change is taken"
+wait_until grep -q 'event=reloaded' "$RUN/front-0.log" || fail "the changed settings are not loaded without a signal"
 sed -i 's/^constant = .*/constant = many/' "$RUN/front-0.ini"
 kill -HUP "${FRONT_PID[0]}"
-wait_until grep -q 'event=reload-refused reason=settings' "$RUN/front-0.log" || fail "a faulty one is refused"
+wait_until grep -q 'event=reload-refused reason=settings' "$RUN/front-0.log" || fail "invalid settings are not rejected"
 find_all reloaded >/dev/null
-[ "$(status)" = 200 ] || fail "and cuts nothing"
+[ "$(status)" = 200 ] || fail "status $(status) after invalid settings"
--- a/tests/system/front_turned_away_large.sh
+++ b/tests/system/front_turned_away_large.sh
@@ -1,9 +1,10 @@
-# A VM that the store turns away goes on with an old configuration because the new one is too large to be told, and only announced.
+# A VM whose calls the store rejects keeps an old configuration because the new one is too large to be sent over a feed
+# and is only announced.
 . tests/front_lib.sh
 STORE_OF[3]=$STORE_SIDE
 fronts_start 4
 users side busy >/dev/null
-sleep 6 # a watch that was waiting is over by now
+sleep 6 # until a pending watch has ended
 users pad '' 600 >/dev/null
 users configure '' 5 >/dev/null
 sleep 3
