--- a/tests/system/api_errors.sh
+++ b/tests/system/api_errors.sh
@@ -1,5 +1,5 @@
-# What a caller sees when its request is wrong: a 4xx problem that names the fault and says that
-# nothing ran, in any order, while other requests go on as before.
+# Invalid requests get a 4xx problem that names the error and says that nothing ran. Other requests are served
+# as before.
 . tests/lib.sh
 site_start brodnica || exit 1
 C=http://127.0.0.1:$CALLERS_FROM/v1/services
@@ -24,21 +24,21 @@
 expect 413 too-large -X POST --data-binary @<(head -c 70000 /dev/zero) "$C/checklist-board/search"
 expect 411 length-required -X POST -H 'Transfer-Encoding: chunked' -d '{}' "$C/checklist-board/search"
 
-# A body that never comes is given up with 408, on that connection alone.
+# A request whose body does not arrive times out with 408. Other connections are not affected.
 exec 3<>"/dev/tcp/127.0.0.1/$CALLERS_FROM"
 printf 'POST /v1/services/checklist-board/search HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n{' >&3
-curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || fail "others go on"
+curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || fail "another caller is not served while a body is incomplete"
 read -r -t 8 line <&3
-[[ $line == *408* ]] || fail "wanted 408 for a slow body, got: $line"
+[[ $line == *408* ]] || fail "expected 408 for a slow body, got: $line"
 exec 3>&-
 
-# Headers beyond the limit cost the connection, not the daemon.
+# Headers over the size limit close the connection; the daemon goes on serving.
 curl -s -m 3 -o /dev/null -H "X-Big: $(head -c 20000 /dev/zero | tr '\0' x)" "$C/checklist-board/search"
-curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || fail "alive after big headers"
+curl -s -m 3 -X POST -d '{}' "$C/checklist-board/search" | jq -e .complete >/dev/null || fail "the daemon does not serve after oversized headers"
 
-# Operators' paths ask for the token; health and metrics do not.
+# Operators' paths require the token; health and metrics do not.
 A=http://127.0.0.1:$ADMINS_FROM
 expect 401 unauthorized "$A/v1/status"
 expect 401 unauthorized -H 'Authorization: Bearer wrong' "$A/v1/status"
-curl -sf -m 3 "$A/healthz" >/dev/null && curl -sf -m 3 "$A/metrics" >/dev/null || fail "health and metrics are open"
-curl -sf -m 3 -H "Authorization: Bearer $TOKEN" "$A/v1/status" >/dev/null || fail "the token opens status"
+curl -sf -m 3 "$A/healthz" >/dev/null && curl -sf -m 3 "$A/metrics" >/dev/null || fail "health and metrics do not answer without the token"
+curl -sf -m 3 -H "Authorization: Bearer $TOKEN" "$A/v1/status" >/dev/null || fail "status does not accept the token"
--- a/tests/system/at_most_once.sh
+++ b/tests/system/at_most_once.sh
@@ -1,18 +1,18 @@
-# Actions go through six VMs while the platform loses answers, a VM is killed and another frozen; every
-# caller repeats its key through the next VM at once. No key may run twice, and a caller who was told
-# "not run" by both must find that nothing ran.
+# Actions are sent through six VMs while the platform loses replies, one VM is killed and another is suspended.
+# Each caller immediately repeats its key through the next VM. No key may run twice, and if both VMs answer
+# "not run", the action must not have run.
 . tests/lib.sh
 site_start brodnica || exit 1
 send() { # vm key
 	curl -s -m 5 -X POST -H "Idempotency-Key: $2" -H 'Request-Timeout-Ms: 1500' -d '{}' \
 		"http://127.0.0.1:$((CALLERS_FROM + $1))/v1/services/reminder-sender/actions" | jq -r '.ran // "none"'
 }
-# One caller: a key through one VM, and at once again through the next.
+# One caller: sends a key through one VM, then immediately through the next.
 caller() { # number
 	local vm=$(($1 % 6)) key first second
 	key=$(date +%s%3N)-caller-$1-key
 	first=$(send $vm "$key") second=$(send $(((vm + 1) % 6)) "$key")
-	echo "$key ${first:-none} ${second:-none}" >>"$RUN/told.txt"
+	echo "$key ${first:-none} ${second:-none}" >>"$RUN/answers.txt"
 }
 platform_control '{"lose_replies":6}' >/dev/null
 pids=()
@@ -33,8 +33,8 @@
 	[ "$(control "$name" '{}' | jq .actions_doubled)" = 0 ] || fail "$name ran a key twice"
 	ran=$((ran + $(control "$name" '{}' | jq .actions)))
 done
-yes=$(grep -c yes "$RUN/told.txt")
-no=$(grep -c ' no no$' "$RUN/told.txt")
-[ $ran -ge "$yes" ] || fail "$yes were told it ran, and $ran ran"
-[ $ran -le $((60 - no)) ] || fail "$no of 60 were told twice that nothing ran, and $ran ran"
-[ "$yes" -gt 20 ] || fail "only $yes of 60 ran: $(cat "$RUN/told.txt")"
+yes=$(grep -c yes "$RUN/answers.txt")
+no=$(grep -c ' no no$' "$RUN/answers.txt")
+[ $ran -ge "$yes" ] || fail "$yes callers were answered that the action ran, but only $ran ran"
+[ $ran -le $((60 - no)) ] || fail "$no of 60 callers were answered twice that the action did not run, but $ran ran"
+[ "$yes" -gt 20 ] || fail "only $yes of 60 ran: $(cat "$RUN/answers.txt")"
--- a/tests/system/caller_leaves.sh
+++ b/tests/system/caller_leaves.sh
@@ -1,5 +1,5 @@
-# A caller gives up and closes its connection while its search is under way. The daemon must notice,
-# and cancel at the searchers by closing its own connections; nobody goes on working for nobody.
+# A caller closes its connection while its search is running. The daemon must detect this and cancel the
+# sub-requests by closing its connections to the searchers, so that they do no work for a lost caller.
 . tests/lib.sh
 WORK_US=2000000
 site_start brodnica || exit 1
--- a/tests/system/repeated_key.sh
+++ b/tests/system/repeated_key.sh
@@ -1,5 +1,5 @@
-# A caller (or a proxy) sends two Idempotency-Key headers. Running under either of them could run the
-# action twice once the other is repeated alone, so the request must be refused before a claim.
+# A caller or proxy sends two Idempotency-Key headers. If the action ran under one key, a retry with only the other key
+# would run it twice, so the request must be rejected before a claim is made.
 . tests/lib.sh
 site_start brodnica || exit 1
 expect 400 bad-request -X POST -H "Idempotency-Key: $(date +%s%3N)-one" \
--- a/tests/system/silent_probes.sh
+++ b/tests/system/silent_probes.sh
@@ -1,7 +1,7 @@
-# Every open connection goes silent at once while all searchers are sound and no request is under way.
-# A caller who asks next gets whole answers: the health probes time out once on their kept connections
-# and go on over new ones. Counting each probe that finds the last one still out as a failure of its
-# own made three of one, and whole groups were taken for down.
+# All open connections go silent at once while all searchers are healthy and no request is outstanding. The next
+# caller must get complete answers: the health probes time out once on their keep-alive connections and continue over
+# new ones. If a probe that is due while the last one is outstanding counted as another failure, one failure would
+# count as three, and whole groups would be marked down.
 . tests/lib.sh
 site_start brodnica || exit 1
 for round in 1 2 3; do
@@ -10,5 +10,5 @@
 	done
 	sleep 2.5
 	down=$(cat "$RUN"/*-[12].log | grep -c 'event=upstream-down')
-	[ "$down" = 0 ] || fail "round $round: $down times a sound searcher was taken for down"
+	[ "$down" = 0 ] || fail "round $round: healthy searchers were marked down $down times"
 done
