--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Takes one safeguard out of a scratch copy at a time; the scripts or the random schedules must notice.
-# A safeguard whose loss nobody notices is either not needed or not tested.
+# Mutation tests: removes one safeguard at a time from a scratch copy; at least one test program must then fail.
+# A safeguard whose removal no test detects is either not needed or not tested.
 #
-# Each row: name | file | perl expression that takes the safeguard out. ONLY=TEXT tries rows that hold it.
+# Each row: name (the fault that appears without the safeguard) | file | Perl expression that removes the safeguard.
+# ONLY=TEXT tries only the rows that contain TEXT.
 set -u
 cd "$(dirname "$0")/.."
 MUTANTS=(
@@ -137,7 +138,7 @@
 	'an old configuration comes back|src/core/adoption.c|s/if \(number <= adoption_number\(adoption\)\)/if (0)/'
 	'a proposal is not looked up|src/core/proposal.c|s/\tif \(own\) \{/\tif (0) {/'
 	'pending claims wait during an outage|src/core/claims.c|s/claims->failures >= CLAIM_OUTAGE_FAILURES/0/'
-	'a stranger may speak|src/core/frame.c|s/return difference == 0;/return true;/'
+	'a message from a sender without the key is accepted|src/core/frame.c|s/return difference == 0;/return true;/'
 	'a report of an earlier incarnation counts|src/core/registry.c|s/return incarnation && born_ms < incarnation->born_ms;/return false;/'
 	'a late list makes a draining incarnation ready again|src/core/registry.c|s/incarnation->draining = incarnation->draining \|\| entry->draining;/incarnation->draining = entry->draining;/'
 	'an observation of an earlier start is applied to the next|src/core/sighting.c|s/ \|\| searcher->born_ms != observation->born_ms//'
@@ -170,8 +171,8 @@
 	'hedges are sent as early when the budget is nearly used up|src/core/part.c|s/spent \* HEDGE_SPENT_FACTOR/0/'
 	'a route of long requests makes searchers look hung|src/core/route_state.c|s/return state->hang_rate < HANG_RATE_MAX;/return true;/'
 )
-# Mechanisms that gain something and keep no promise: no test fails without them, so they are not tried
-# here; scripts/ablate.sh takes them out, too, and plays days with and without.
+# Mechanisms that improve results but guarantee nothing: no test fails without them, so they are not tried here.
+# scripts/ablate.sh removes them as well, and runs simulated days with and without each.
 ABLATIONS=(
 	'no part is hedged|src/core/part.c|s/part->hedge_us = may_run_again\(part\) \? hedge_due_us\(part, now_us\) : 0;/part->hedge_us = 0;/'
 	'hedges are sent only at the latest time|src/core/part.c|s/due_us = searcher->idle \? MIN\(hedge_due_us\(part, now_us\), late_us\) : late_us;/due_us = late_us;/'
@@ -194,22 +195,22 @@
 CFLAGS="-w -O1 -Isrc -Itests $(pkg-config --cflags glib-2.0 jansson libxxhash msgpack)"
 LIBS="$(pkg-config --libs glib-2.0 jansson libxxhash msgpack) -lcmocka -lm"
 
-# Test programs in the order they are tried, and what each is linked from besides src/core.
+# Test programs in the order in which they are tried, and what each is linked with besides src/core.
 TESTS="forward_test poison_test hearing_test handover_test fleet_test parts_test message_test gossip_test script_test load_test random_test front_random_test front_fleet_test"
 declare -A SEEN_BY=(
-	[forward_test]='the forwarding scripts' [hearing_test]='the plays of an absent store'
-	[handover_test]='the scripts of handing over'
-	[fleet_test]='the fleets' [parts_test]='the small parts' [message_test]="the codec's tests"
-	[load_test]='the loads' [poison_test]='the bounds on what is remembered'
-	[front_random_test]='the schedules of forwarding' [front_fleet_test]='the schedules of several VMs'
-	[gossip_test]='the members' [script_test]='the scripts' [random_test]='the schedules')
+	[forward_test]='the forwarding scripts' [hearing_test]='the store sync tests'
+	[handover_test]='the hand-over scripts'
+	[fleet_test]='the fleet tests' [parts_test]='the unit tests of small modules' [message_test]='the HTTP message tests'
+	[load_test]='the load scenarios' [poison_test]='the tests of poison records'
+	[front_random_test]='the random schedules of forwarding' [front_fleet_test]='the random schedules of several VMs'
+	[gossip_test]='the membership tests' [script_test]='the query scripts' [random_test]='the random schedules of queries')
 declare -A WITH=([forward_test]='playbook' [handover_test]='playbook' [message_test]='net_http_message' [script_test]='world' [random_test]='world'
 	[load_test]='load_world' [front_random_test]='front_world' [front_fleet_test]='front_world')
 declare -A ARGS=([random_test]=400 [front_random_test]=400 [front_fleet_test]=100)
 
 object_of() { echo "$SCRATCH/objects/$(echo "${1#src/}" | sed 's|^core/||; s|^tests/||; s|/|_|g; s|\.c$||').o"; }
 
-# Everything sound is compiled once; a mutant needs its one file, and a link.
+# Compiles the unchanged sources once; for a mutant, only its file is compiled and the test programs are linked.
 compile_all() {
 	mkdir -p "$SCRATCH/objects"
 	for file in src/core/*.c src/net/http_message.c tests/world.c tests/load_world.c tests/front_world.c tests/playbook.c $(printf 'tests/%s.c ' $TESTS); do
@@ -217,11 +218,12 @@
 	done | xargs -P "$(nproc)" -L 1 sh -c "gcc $CFLAGS -c -o \"\$1\" \"\$0\""
 }
 
-# A test that does not end, as on a busy machine, has seen nothing.
+# Succeeds if the test program fails. A time-out, as on a busy machine, does not count as a failure.
 fails() { timeout 300 "$@" >/dev/null 2>&1; case $? in 0 | 124) return 1 ;; esac; }
 
-# The objects of a test program, the mutant's in place of the sound one. message_test knows no core.
-objects_for() { # test, sound object, mutant's object
+# Prints the objects of a test program, with the mutant's object in place of the unchanged one. message_test is linked
+# without src/core.
+objects_for() { # test, unchanged object, mutant's object
 	local test=$1 file
 	for file in "$SCRATCH/objects/$test.o" ${WITH[$test]:+"$SCRATCH/objects/${WITH[$test]}.o"} \
 		$([ "$test" = message_test ] || ls src/core/*.c | sed "s|src/core/\(.*\)\.c|$SCRATCH/objects/\1.o|"); do
@@ -229,7 +231,7 @@
 	done
 }
 
-try_mutant() { # row index
+try_mutant() { # row, index
 	local name file expression dir=$SCRATCH/$2 row=$1 test
 	name=${row%%|*} row=${row#*|}
 	file=${row%%|*} expression=${row#*|}
@@ -248,21 +250,21 @@
 	return 1
 }
 
-compile_all || { echo "the sound sources do not compile"; exit 1; }
+compile_all || { echo "the unchanged sources do not compile"; exit 1; }
 jobs=()
 for i in "${!MUTANTS[@]}"; do
 	case ${MUTANTS[$i]} in *${ONLY:-}*) ;; *) continue ;; esac
 	(try_mutant "${MUTANTS[$i]}" "$i" >"$SCRATCH/out.$i" 2>&1 && touch "$SCRATCH/seen.$i") &
 	jobs[$i]=$!
-	# As many at once as there are processors, each to its end.
+	# Run at most as many mutants at a time as there are processors.
 	while [ "$(jobs -rp | wc -l)" -ge "$(nproc)" ]; do wait -n; done
 done
 wait
 bad=0
-# Not by what `wait` says of each: the shell forgets a child whose id another process has taken.
+# The results are read from files, not from `wait`: the shell forgets a child whose process id was reused.
 for i in "${!jobs[@]}"; do
 	[ -e "$SCRATCH/seen.$i" ] || bad=$((bad + 1))
 	cat "$SCRATCH/out.$i"
 done
-echo "$((${#jobs[@]} - bad)) of ${#jobs[@]} safeguards are missed when taken out"
+echo "$((${#jobs[@]} - bad)) of ${#jobs[@]} safeguards are detected as missing when removed"
 [ $bad = 0 ]
