--- a/tests/soak/front_soak.sh
+++ b/tests/soak/front_soak.sh
@@ -1,17 +1,19 @@
 #!/usr/bin/env bash
-# Real daemons under faults from outside, by a seed: signals in series and overlapping, a store that is
-# down, forgets or changes, searchers that hang, refuse, fail or leave, connections that a loopback proxy
-# delays, silences, cuts one way or closes. While it runs, callers check what they get:
+# Runs real daemons under faults chosen by a seed: signals, also overlapping ones; a store that is down, loses its
+# history or changes; searchers that hang, refuse, fail or drain; connections that a loopback proxy delays, silences,
+# silences in one direction, or closes. Meanwhile callers check their answers:
 #
-#   a merged answer names each part once, by its own request's id, says truly how many are missing, and
-#   holds the greatest records of just those parts; a single answer is the searcher's; what was refused
-#   as not run did not run; what must not be repeated ran once at most; afterwards all VMs serve again.
+#   A merged answer names each part once, with its own request's id, reports the true number of missing parts, and
+#   contains the greatest records of exactly the parts that it names. A request that was rejected as not run did not
+#   run. A request that must not be repeated ran at most once. Afterwards all VMs serve again.
 #
-# With a seed that three divides, two requests end the searchers that run them, and come again and again at any VM;
-# afterwards, with all VMs in touch, few more attempts reach a searcher, and none but these two is refused.
+# If the seed is divisible by three, two poison requests crash the searchers that run them and are repeated at any VM.
+# Afterwards, when all VMs reach the store and each other, few more attempts reach a searcher, and no other request is
+# blocked.
 #
-# With a seed from 1000 on, a data centre is evacuated and taken back, searchers become cold, the store comes back
-# from a copy and its operator and searchers write again, and callers ask for what must stay in the other region.
+# If the seed is at least 1000, a data centre is evacuated and reopened, searchers become cold, the store is restored
+# from an older copy of its data after which the operator and the searchers write again, and callers send requests
+# that must stay in the other region.
 #
 #   tests/soak/front_soak.sh SEED [SECONDS]
 set -u
@@ -21,31 +23,31 @@
 . tests/front_lib.sh
 RANDOM=$SEED
 VMS_RUN=3 SHARDS=3 OFFSET=100
-PLACES=$((SEED >= 1000))
-[ $PLACES = 0 ] || EVACUATE_MS=5000
-# With an odd seed two large VMs gather for a small one.
+REGION_FAULTS=$((SEED >= 1000))
+[ $REGION_FAULTS = 0 ] || EVACUATE_MS=5000
+# If the seed is odd, two large VMs gather for a small one.
 front_size() {
 	[ $((SEED % 2)) = 1 ] || return 0
 	[ "$1" = 0 ] && printf 'link_mbps = 20\ncores = 1\ncore_share = 0.1\n' || printf 'link_mbps = 200\ncores = 1\ncore_share = 0.5\n'
 }
-PROXY=$((PORT_BASE + 2)) STORE_DOOR=$((PORT_BASE + 3))
+PROXY=$((PORT_BASE + 2)) STORE_ENDPOINT=$((PORT_BASE + 3))
 pick() { local -a all=("$@"); echo "${all[RANDOM % ${#all[@]}]}"; }
 proxy() { curl -s -m 2 "http://127.0.0.1:$PROXY/do?mode=$1${2:-}" >/dev/null; }
 
-doors=("$STORE_DOOR:$STORE")
-for ((i = 0; i < 2 * (SHARDS + 1); i++)); do doors+=("$((SHARDS_FROM + OFFSET + i)):$((SHARDS_FROM + i))"); done
-"$BUILD/standin-proxy" "$PROXY" "${doors[@]}" >>"$RUN/proxy.log" 2>&1 &
+endpoints=("$STORE_ENDPOINT:$STORE")
+for ((i = 0; i < 2 * (SHARDS + 1); i++)); do endpoints+=("$((SHARDS_FROM + OFFSET + i)):$((SHARDS_FROM + i))"); done
+"$BUILD/standin-proxy" "$PROXY" "${endpoints[@]}" >>"$RUN/proxy.log" 2>&1 &
 PIDS+=($!)
 REAL_STORE=$STORE
 "$BUILD/standin-users-platform" --store "$REAL_STORE" --control "$CONTROL" --searchers "$SHARDS_FROM" \
-	--advertise $OFFSET --cold-per-s $((4 * PLACES)) >>"$RUN/users.log" 2>&1 &
+	--advertise $OFFSET --cold-per-s $((4 * REGION_FAULTS)) >>"$RUN/users.log" 2>&1 &
 PIDS+=($!)
-STORE=$STORE_DOOR
+STORE=$STORE_ENDPOINT
 wait_until users none
 for ((i = 0; i < VMS_RUN; i++)); do front_start "$i"; done
 for ((i = 0; i < VMS_RUN; i++)); do wait_until is_ready "$i" || fail "seed $SEED: VM $i is not ready at the start"; done
 
-# What the merge of these shards (numbers) must be: the stand-in's records, greatest first.
+# Prints the expected merge of these shards (numbers): the stand-in's greatest records in descending order.
 merged() {
 	local n i
 	for n in "$@"; do for ((i = 0; i < 8; i++)); do printf '%06d-%04d-%04d\n' $(((8 - i) * 100 + n)) "$n" "$i"; done; done | sort -r | head -n 5 | tr -d '\n'
@@ -57,8 +59,8 @@
 	missing=$(tr -d '\r' <"$2" | grep -i '^Dogwoodsaddle-Missing-Parts:' | cut -d' ' -f2)
 	numbers=$(sed 's/^i-shard-\([0-9]*\)-.*/\1/' <<<"$stamps" | sort -n | uniq)
 	[ "$(grep -c "\.$1\$" <<<"$stamps")" = "$(wc -l <<<"$stamps")" ] || { echo "$1: a part of another request: $stamps"; return; }
-	[ "$(wc -l <<<"$numbers")" = "$(wc -l <<<"$stamps")" ] || { echo "$1: a part twice: $stamps"; return; }
-	[ $(($(wc -l <<<"$stamps") + missing)) = $SHARDS ] || { echo "$1: parts and missing don't make up $SHARDS: $stamps, $missing"; return; }
+	[ "$(wc -l <<<"$numbers")" = "$(wc -l <<<"$stamps")" ] || { echo "$1: a part is named twice: $stamps"; return; }
+	[ $(($(wc -l <<<"$stamps") + missing)) = $SHARDS ] || { echo "$1: answered and missing parts are not $SHARDS together: $stamps, $missing"; return; }
 	# shellcheck disable=SC2086
 	[ "$(cat "$3")" = "$(merged $numbers)" ] || echo "$1: not the greatest records of $numbers"
 }
@@ -82,7 +84,7 @@
 	done
 }
 
-# What must stay in region two is answered by searchers there, or not at all.
+# Sends requests that must stay in region two: only searchers of that region may answer them.
 home_caller() {
 	local n=0 code path stamps
 	while [ ! -e "$RUN/over" ]; do
@@ -97,9 +99,9 @@
 	done
 }
 
-CRASHERS=(find.example/find/crash get.example/get/crash)
-[ $((SEED % 3)) = 0 ] || CRASHERS=()
-crasher() { # host/path
+POISON_REQUESTS=(find.example/find/crash get.example/get/crash)
+[ $((SEED % 3)) = 0 ] || POISON_REQUESTS=()
+poison_caller() { # host/path
 	local ATTEMPT=crasher$BASHPID
 	while [ ! -e "$RUN/over" ]; do
 		attempt $((RANDOM % VMS_RUN)) "${1%%/*}" "/${1#*/}"
@@ -107,7 +109,7 @@
 	done
 }
 
-# A process that ended is started again, as the platform does.
+# Restarts the daemons that have terminated, as the platform does.
 ended() { case $(awk '{print $3}' "/proc/${FRONT_PID[$1]}/stat" 2>/dev/null) in '' | Z) return 0 ;; esac; return 1; }
 supervise() {
 	local i
@@ -120,12 +122,12 @@
 is_up() { supervise; is_ready "$1"; }
 
 version=1
-# The operator and the searchers write again what a copy has lost.
+# The operator and the searchers write again what the restored store has lost.
 write_again() {
 	users ready i- >/dev/null
 	users configure '' $version >/dev/null
 }
-place_fault() {
+region_fault() { # data centre
 	case $((RANDOM % 4)) in
 	0) users evacuate "$1" >/dev/null; sleep 1; users reopen "$1" >/dev/null ;;
 	1) users cold "$(pick i-shard-0 i-single-here i-shard-2-there)" 1500 >/dev/null ;;
@@ -135,7 +137,7 @@
 }
 fault() {
 	local vm=$((RANDOM % VMS_RUN)) searcher
-	[ $PLACES = 0 ] || place_fault "$(pick here there)"
+	[ $REGION_FAULTS = 0 ] || region_fault "$(pick here there)"
 	searcher=$(pick i-shard-0-here i-shard-1-here i-shard-2-there i-single-here i-shard-1)
 	case $((RANDOM % 12)) in
 	0) kill -KILL "${FRONT_PID[$vm]}" ;;
@@ -155,8 +157,8 @@
 
 callers=()
 for ((i = 0; i < 4; i++)); do caller $i & callers+=($!); done
-for path in ${CRASHERS[@]+"${CRASHERS[@]}"}; do crasher "$path" & callers+=($!); done
-[ $PLACES = 0 ] || { home_caller & callers+=($!); }
+for path in ${POISON_REQUESTS[@]+"${POISON_REQUESTS[@]}"}; do poison_caller "$path" & callers+=($!); done
+[ $REGION_FAULTS = 0 ] || { home_caller & callers+=($!); }
 end=$(($(date +%s) + SECONDS_RUN))
 while [ "$(date +%s)" -lt $end ]; do
 	fault
@@ -167,7 +169,7 @@
 proxy cut
 users ok i- >/dev/null
 users down '' 0 >/dev/null
-[ $PLACES = 0 ] || { users reopen here >/dev/null; users reopen there >/dev/null; write_again; }
+[ $REGION_FAULTS = 0 ] || { users reopen here >/dev/null; users reopen there >/dev/null; write_again; }
 touch "$RUN/over"
 wait "${callers[@]}"
 for ((i = 0; i < VMS_RUN; i++)); do
@@ -180,31 +182,31 @@
 	done
 	[ $served -ge 5 ] || fail "seed $SEED: VM $i served $served of 10 after the faults:$(grep -o "event=answer request=end$i.*" "$RUN/front-$i.log" | grep -o ' outcome=[a-z-]*' | sort | uniq -c | xargs)"
 done
-# Known by now, or soon: each VM is asked a few times, and once the settle time is over a few times more.
-each_crasher() { # times
+# The poison requests are known by now or soon: each VM gets a few attempts, and a few more after the settle time.
+each_poison_request() { # times
 	local n path
 	for ((n = 0; n < $1; n++)); do
-		for path in ${CRASHERS[@]+"${CRASHERS[@]}"}; do attempt $((n % VMS_RUN)) "${path%%/*}" "/${path#*/}"; done
+		for path in ${POISON_REQUESTS[@]+"${POISON_REQUESTS[@]}"}; do attempt $((n % VMS_RUN)) "${path%%/*}" "/${path#*/}"; done
 		sleep 1.3
 	done
 }
-if [ ${#CRASHERS[@]} -gt 0 ]; then
-	each_crasher 6
+if [ ${#POISON_REQUESTS[@]} -gt 0 ]; then
+	each_poison_request 6
 	sleep 5.2
 	before=$(users none | jq '[.crashes[].reached] | add')
-	each_crasher 6
+	each_poison_request 6
 	reached=$(($(users none | jq '[.crashes[].reached] | add') - before))
-	[ $reached -le 6 ] || fail "seed $SEED: two requests that end searchers reached them in $reached of 12 attempts: $(users none | jq -c .crashes)"
+	[ $reached -le 6 ] || fail "seed $SEED: two poison requests reached searchers in $reached of 12 attempts: $(users none | jq -c .crashes)"
 	for ((i = 0; i < VMS_RUN; i++)); do
 		refused=$(metric 'poison_requests{state="refused"}' "$i")
-		[ "$refused" -le 2 ] || fail "seed $SEED: VM $i refuses $refused requests, of two that end searchers"
+		[ "$refused" -le 2 ] || fail "seed $SEED: VM $i blocks $refused requests, but there are two poison requests"
 	done
 fi
 posted=$(users none | jq '.posted')
 jq -e 'all(.[]; . < 2)' <<<"$posted" >/dev/null || fail "seed $SEED: ran more than once: $(jq -c 'with_entries(select(.value > 1))' <<<"$posted")"
 for id in $(cat "$RUN"/posts.* | awk '$1 == 503 {print $2}'); do
-	jq -e --arg id "$id" 'has($id) | not' <<<"$posted" >/dev/null || fail "seed $SEED: refused as not run, and ran: $id"
+	jq -e --arg id "$id" 'has($id) | not' <<<"$posted" >/dev/null || fail "seed $SEED: rejected as not run, but ran: $id"
 done
 [ ! -s "$RUN/wrong" ] || fail "seed $SEED: $(head -n 3 "$RUN/wrong")"
-[ "$(grep -c 200 "$RUN/codes")" -ge 5 ] || fail "seed $SEED: hardly anything was served"
+[ "$(grep -c 200 "$RUN/codes")" -ge 5 ] || fail "seed $SEED: fewer than 5 requests were served"
 echo "seed $SEED: $(sort "$RUN/codes" | uniq -c | awk '{printf "%s x %s  ", $1, $2}')"
--- a/tests/soak/run.sh
+++ b/tests/soak/run.sh
@@ -1,5 +1,7 @@
 #!/usr/bin/env bash
-# Soaks a range of seeds, WORKERS at once, and prints those that failed.   tests/soak/run.sh FROM TO [SECONDS]
+# Runs front_soak.sh for a range of seeds, WORKERS of them in parallel, and prints the seeds that failed.
+#
+#   tests/soak/run.sh FROM TO [SECONDS]
 set -u
 cd "$(dirname "$0")/../.."
 from=$1 to=$2 each=${3:-8} workers=${WORKERS:-4} ports=${PORT_BASE:-15000}
