--- a/tests/days/outages.sh
+++ b/tests/days/outages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays random days on which the store goes away in every way and the configuration changes just behind its return,
-# and prints those that break a rule. Needs the users' bench; not part of CI.
+# Runs random simulated days on which the store becomes unavailable in all ways and the configuration changes just
+# before, at or after its recovery. Prints the days that break a rule. Needs the users' bench; not part of CI.
 #
 #   tests/days/outages.sh BENCH SITE FIRST LAST [AT-ONCE]
 set -u
@@ -36,7 +36,7 @@
 	}' </dev/null >"$dir/outages-$1.toml"
 }
 export bench site dir
-play() {
+run_day() {
 	out=$(timeout 300 "$bench" run "$site" "$dir/outages-$1.toml" --jobs 1 --why "random outages with changes behind them, seed $1" 2>&1)
 	line=$(grep -E "^outages-$1 " <<<"$out" | cut -c1-170)
 	case $line in
@@ -48,6 +48,6 @@
 	*) echo "ok $line" ;;
 	esac
 }
-export -f play
+export -f run_day
 for ((seed = first; seed <= last; seed++)); do write_day "$seed"; done
-seq "$first" "$last" | xargs -P "$at_once" -I{} bash -c 'play {}'
+seq "$first" "$last" | xargs -P "$at_once" -I{} bash -c 'run_day {}'
--- a/tests/days/play.sh
+++ b/tests/days/play.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays a day of its own for each trouble of kinds.txt, three times in the day, and prints those that
-# break a rule. Needs the users' bench; not part of CI.
+# Runs one simulated day for each line of kinds.txt, with that fault or plan entry three times in the day. Prints the
+# days that break a rule. Needs the users' bench; not part of CI.
 #
 #   tests/days/play.sh BENCH SITE [JOBS]
 #
-# A line of kinds.txt: plan or faults, the kind, then fields; words of `how` are joined by '_'.
+# A line of kinds.txt: 'plan' or 'faults', the kind, then fields; the words of `how` and `on` are joined by '_'.
 set -u
 bench=$1 site=$2 jobs=${3:-4}
 dir=$(mktemp -d)
@@ -28,7 +28,7 @@
 	} >"$dir/$kind-$n.toml"
 done <"$(dirname "$0")/kinds.txt"
 export bench site
-play() {
+run_day() {
 	out=$(timeout 120 "$bench" run "$site" "$1" --jobs 1 --why "own day for each trouble: $(basename "$1" .toml)" 2>&1)
 	line=$(grep -E "^$(basename "$1" .toml) " <<<"$out" | cut -c1-170)
 	case $line in
@@ -37,7 +37,7 @@
 	*) echo "ok $line" ;;
 	esac
 }
-export -f play
-ls "$dir"/*.toml | xargs -P "$jobs" -I{} bash -c 'play {}' >"$dir/out"
+export -f run_day
+ls "$dir"/*.toml | xargs -P "$jobs" -I{} bash -c 'run_day {}' >"$dir/out"
 grep -v '^ok ' "$dir/out"
 echo "$(grep -c '^ok ' "$dir/out") of $n days break no rule"
