--- a/tests/days/outages.sh
+++ b/tests/days/outages.sh
@@ -44,7 +44,7 @@
 		echo "BROKEN $line"
 		grep -E '^[A-Z]+ at' <<<"$out" | head -n 2 | cut -c1-200
 		;;
-	'') echo "NOT PLAYED outages-$1: $(tail -n 1 <<<"$out" | cut -c1-150)" ;;
+	'') echo "NOT RUN outages-$1: $(tail -n 1 <<<"$out" | cut -c1-150)" ;;
 	*) echo "ok $line" ;;
 	esac
 }
--- a/tests/days/play.sh
+++ b/tests/days/play.sh
@@ -33,7 +33,7 @@
 	line=$(grep -E "^$(basename "$1" .toml) " <<<"$out" | cut -c1-170)
 	case $line in
 	*BROKEN*) echo "BROKEN $line"; grep -m 1 -E '^[A-Z]+ at' <<<"$out" | cut -c1-200; grep -A1 'list = \|= \[ {' "$1" | head -2 ;;
-	'') echo "NOT PLAYED $(basename "$1"): $(tail -n 1 <<<"$out" | cut -c1-150)" ;;
+	'') echo "NOT RUN $(basename "$1"): $(tail -n 1 <<<"$out" | cut -c1-150)" ;;
 	*) echo "ok $line" ;;
 	esac
 }
