--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Each target does its own set-up on a fresh Debian machine.
+# Each target installs the Debian packages that it needs.
 
 SHELL := /bin/bash
 .SHELLFLAGS := -o pipefail -c
@@ -22,12 +22,12 @@
 	@cmake -S . -B $(BUILD) >/dev/null
 	@$(MAKE) --no-print-directory -C $(BUILD) -j$(JOBS) | { grep -v 'Built target\|Building\|Linking\|Consolidate\|Scanning' || true; }
 
-# Tests run with the address and undefined-behaviour sanitizers.
+# Builds with the address and undefined-behaviour sanitizers, for the unit tests.
 san: setup
 	@cmake -S . -B $(SAN_BUILD) -DSANITIZE=ON -DCMAKE_BUILD_TYPE=Debug >/dev/null
 	@$(MAKE) --no-print-directory -C $(SAN_BUILD) -j$(JOBS) | { grep -v 'Built target\|Building\|Linking\|Consolidate\|Scanning' || true; }
 
-# make demo KEEP=1 leaves it up; make demo SITE=sablat shows the other user's site.
+# make demo KEEP=1 leaves the site running; make demo SITE=sablat shows the other user's site.
 demo: build
 	@BUILD=$(BUILD) SITE=$(or $(SITE),brodnica) KEEP=$(KEEP) scripts/demo.sh
 
@@ -52,12 +52,12 @@
 bench: build
 	@BUILD=$(BUILD) scripts/bench.sh
 
-# What callers get under load and faults, now and at an earlier revision: make loads REV=HEAD~1 SEEDS=8
+# Compares the results for callers under load and faults with an earlier revision: make loads REV=HEAD~1 SEEDS=8
 loads: setup-check
 	@dpkg -s gnuplot-nox >/dev/null 2>&1 || apt-get install -y -qq gnuplot-nox >/dev/null
 	@scripts/loads.sh $(or $(REV),HEAD) $(or $(SEEDS),8)
 
-# Fresh seeds each time: real processes under faults, and random schedules over the core.
+# Runs random schedules of src/core, and real processes under faults with new seeds each time.
 soak: san
 	@$(SAN_BUILD)/random_test $(or $(SEEDS),20000)
 	@$(SAN_BUILD)/front_random_test $(or $(SEEDS),20000) $$(date +%s)
