--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,26 +1,26 @@
 /*
- * One idempotency key, claimed through three VMs while the platform's answers get lost or late.
+ * One idempotency key is claimed through three VMs while the platform's replies are lost or late.
  *
- * Follows src/core/claims.c and engine_claimed(). A VM may be slow or stopped between any two steps;
- * so "paused" and "killed" need no steps of their own. Each variant takes one safeguard out.
+ * Models src/core/claims.c and engine_claimed(). A VM may be slow or suspended between any two steps, so
+ * pauses and kills need no steps of their own. Each variant removes one safeguard.
  *
- * Promises: the action runs at most once; a VM that said "not run" has not run it and never will.
+ * Properties: the action runs at most once; a VM that answered "not run" has not run it and never will.
  */
 #define VMS 3
 #define NOBODY 0
 #define TRIES 2
 
 byte version = 0;       /* of the platform's bucket */
-byte holder = NOBODY;   /* whose claim stands there */
+byte holder = NOBODY;   /* the VM whose claim is in the bucket */
 byte effects = 0;       /* how often the action ran */
-bool told_not_run[VMS + 1];
+bool answered_not_run[VMS + 1];
 bool ran[VMS + 1];
-bool lied = false;      /* a VM took its own claim for somebody else's */
+bool lied = false;      /* a VM took its own claim for another VM's */
 
 inline check()
 {
-	assert(effects <= 1 && !lied && !(told_not_run[1] && ran[1]) && !(told_not_run[2] && ran[2]) &&
-	       !(told_not_run[3] && ran[3]))
+	assert(effects <= 1 && !lied && !(answered_not_run[1] && ran[1]) && !(answered_not_run[2] && ran[2]) &&
+	       !(answered_not_run[3] && ran[3]))
 }
 
 chan late = [VMS * TRIES] of { byte, byte }; /* writes still in the network: if_version, holder */
@@ -60,9 +60,9 @@
 	:: written && seen_holder == me -> goto ours
 #endif
 #ifndef OVERWRITE_OTHERS
-	:: seen_holder != NOBODY && (seen_holder != me || !written) -> goto done /* told: unknown */
+	:: seen_holder != NOBODY && (seen_holder != me || !written) -> goto done /* answered: unknown */
 #ifdef NO_READ_BACK
-	:: seen_holder == me -> lied = true; check(); goto done /* told: somebody else has it */
+	:: seen_holder == me -> lied = true; check(); goto done /* answered: held by another VM */
 #endif
 #endif
 	:: else -> skip
@@ -78,8 +78,8 @@
 #ifdef UNCONDITIONAL_WRITE
 	:: atomic { version++; holder = me; goto ours }
 #endif
-	:: atomic { apply(seen_version, me); goto read }             /* took effect, answer lost */
-	:: atomic { late ! seen_version, me; goto read }             /* will take effect, or not, later */
+	:: atomic { apply(seen_version, me); goto read }             /* took effect, reply lost */
+	:: atomic { late ! seen_version, me; goto read }             /* may take effect later */
 	:: goto read                                                 /* never arrived */
 	fi;
 
@@ -94,7 +94,7 @@
 #endif
 		check()
 	   }; goto done
-	:: told_not_run[me] = true; check(); /* woke after the deadline: answered, and nothing sent */
+	:: answered_not_run[me] = true; check(); /* resumed after the deadline: answered, nothing sent */
 #ifdef SEND_AFTER_ANSWER
 	   goto late_send
 #endif
@@ -118,7 +118,7 @@
 #endif
 
 give_up:
-	told_not_run[me] = true; check(); /* no byte went to an upstream; a claim that still lands is given back */
+	answered_not_run[me] = true; check(); /* nothing was sent to an upstream; a claim that still succeeds is released */
 	if
 	:: !written -> goto done
 	:: else -> skip
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,17 +1,18 @@
 /*
- * Configuration: two operators race through two VMs; two more VMs take up what they hear.
+ * Configuration: two operators propose changes concurrently through two VMs; two more VMs apply the
+ * configurations that they receive.
  *
- * Follows src/core/proposal.c and adoption.c. Reads may be stale, answers lost, VMs restarted (they
- * forget what was in force and start at nothing), and peers pass on what they have.
+ * Models src/core/proposal.c and adoption.c. Reads may be stale, replies may be lost, VMs may restart
+ * (they then have no configuration in force), and peers relay the configuration that they have.
  *
- * Promises: what is in force on a VM never goes back while it runs; an operator who was told
- * "accepted" has his change at that number; one who was told "conflict" has none.
+ * Properties: the number of the configuration in force on a VM never decreases while it runs; if an
+ * operator was answered "accepted", his change is at that number; if "conflict", he has no change.
  */
 #define NUMBERS 4
 #define NONE 0
 
 byte number = 1;            /* the platform's version of the object */
-byte at[NUMBERS + 1];       /* whose change each number is; the value's history */
+byte at[NUMBERS + 1];       /* the operator whose change each number is: the object's history */
 byte in_force[2];           /* by VM */
 bool went_back = false;
 bool lied = false;
@@ -21,13 +22,13 @@
 	assert(!went_back && !lied)
 }
 
-inline take(vm, heard)
+inline apply(vm, received)
 {
 	if
 #ifdef TAKE_ANY
-	:: heard != NONE && heard < in_force[vm] -> went_back = true; check(); in_force[vm] = heard
+	:: received != NONE && received < in_force[vm] -> went_back = true; check(); in_force[vm] = received
 #endif
-	:: heard > in_force[vm] -> in_force[vm] = heard
+	:: received > in_force[vm] -> in_force[vm] = received
 	:: else -> skip
 	fi
 }
@@ -37,9 +38,9 @@
 	byte base, tries = 0, i;
 	bool found;
 
-	atomic { base = number }; /* what his VM has in force */
+	atomic { base = number }; /* the number in force on the operator's VM */
 write:	if
-	:: tries == 2 -> goto done /* told: unknown */
+	:: tries == 2 -> goto done /* answered: unknown */
 	:: else -> tries++
 	fi;
 	if
@@ -76,11 +77,11 @@
 		od;
 #endif
 		if
-		:: found -> goto done /* told: accepted, as it is */
+		:: found -> goto done /* answered: accepted, which is true */
 		:: !found && number == base -> goto write
 		:: else -> skip
 		fi;
-		/* told: conflict */
+		/* answered: conflict */
 		i = 1;
 		do
 		:: i <= number -> if
@@ -93,7 +94,7 @@
 	goto done;
 
 accepted:
-	/* told: accepted at base + 1. Somebody else's change at that number makes it untrue. */
+	/* Answered: accepted at base + 1. This is wrong if that number is the other operator's change. */
 	if
 	:: at[base + 1] != me -> lied = true; check()
 	:: else -> skip
@@ -104,16 +105,16 @@
 
 proctype vm(byte me)
 {
-	byte heard, steps = 0;
+	byte received, steps = 0;
 
 	do
 	:: steps < 3 ->
 		steps++;
 		if
-		:: atomic { heard = number; take(me, heard) }
-		:: atomic { heard = 1; take(me, heard) }              /* a copy that lags */
-		:: atomic { heard = in_force[1 - me]; take(me, heard) } /* a peer */
-		:: in_force[me] = NONE                                /* restarted; not ready until it hears */
+		:: atomic { received = number; apply(me, received) }
+		:: atomic { received = 1; apply(me, received) }       /* an outdated replica */
+		:: atomic { received = in_force[1 - me]; apply(me, received) } /* a peer */
+		:: in_force[me] = NONE                                /* restarted; not ready without a configuration */
 		fi
 	:: else -> break
 	od
--- a/spec/era.pml
+++ b/spec/era.pml
@@ -1,13 +1,13 @@
 /*
- * The store comes back from a copy some time old: its era rises, its revisions go back and are given out
- * again. One object, an evacuation, is written by an operator, taken back perhaps, and written again after
- * the return. A VM watches the store; another hears of it from that one, or from one that is behind.
+ * The store is restored from an older copy of its data: its era rises, and its revisions go back and are
+ * assigned again. An operator writes one object, an evacuation, may withdraw it, and writes it again after
+ * the restore. One VM watches the store; another VM is fed by it, or by a feeder that is behind.
  *
- * Follows src/core/store_era.c, src/core/evacuation.c, src/tasks/follower.c and supply_task.c. Replies may
- * be on their way while the store comes back; the era may be heard of first by another kind's reply.
+ * Models src/core/store_era.c, src/core/evacuation.c, src/tasks/follower.c and supply_task.c. Replies may
+ * be in flight while the store is restored; the first reply with the new era may belong to another kind.
  *
- * Promises: a VM that knows the evacuation never drops it before the operator takes it back; once nothing
- * more happens, both VMs know what the operator wrote last.
+ * Properties: a VM that knows the evacuation never drops it before the operator withdraws it; once no more
+ * events occur, both VMs know what the operator wrote last.
  */
 #define OTHER_WRITES 2
 
@@ -15,16 +15,16 @@
 
 byte era = 0, rev = 1, changed = 0;      /* the store; changed: revision of the object's last change */
 bool held = false;                       /* the evacuation is in the store */
-bool wanted = false, written = false, taken_back = false; /* the operator's word */
+bool wanted = false, written = false, withdrawn = false; /* what the operator wants, and has written */
 bool copied = false, restored = false, rewritten = false;
-bool heard = false; /* the time for which one that is missing counts on is over */
+bool retention_over = false; /* a missing evacuation no longer stays in force */
 byte copy_rev, copy_changed;
 bool copy_held;
 
 chan reply = [1] of { byte, mtype, byte, bool }; /* era, what, revision, held */
 chan feed = [6] of { byte, bool };               /* era, held */
 
-bool asked = false, lists = true;        /* the watcher's call, and whether it is for the whole list */
+bool asked = false, lists = true;        /* the watcher has an outstanding call; it reads the whole list */
 byte since = 0;
 
 proctype store()
@@ -33,8 +33,8 @@
 
 	do
 	:: atomic { !written && (!restored || rewritten) -> wanted = true; written = true; held = true; rev++; changed = rev }
-	:: atomic { written && !taken_back && (!restored || rewritten) ->
-		    wanted = false; taken_back = true; held = false; rev++; changed = rev }
+	:: atomic { written && !withdrawn && (!restored || rewritten) ->
+		    wanted = false; withdrawn = true; held = false; rev++; changed = rev }
 	:: atomic { others < OTHER_WRITES -> others++; rev++ }
 	:: atomic { !copied -> copied = true; copy_rev = rev; copy_held = held; copy_changed = changed }
 	:: atomic { copied && !restored ->
@@ -49,7 +49,7 @@
 	od
 }
 
-/* Answers a call at some moment. */
+/* The store answers an outstanding call at any time. */
 proctype answers()
 {
 end:	do
@@ -60,21 +60,21 @@
 	od
 }
 
-/* It is longer than the operator takes to write again, and the way of that to every VM. */
+/* The retention is longer than the operator takes to write again and the write takes to reach every VM. */
 proctype clock()
 {
-end:	atomic { rewritten && !lists && since >= changed && empty(reply) && empty(feed) -> heard = true }
+end:	atomic { rewritten && !lists && since >= changed && empty(reply) && empty(feed) -> retention_over = true }
 }
 
-/* What a VM makes of a word of the store. */
-inline take(known, missing, is_list, now_held)
+/* A VM applies a reply of the store, or the same from a feeder. */
+inline apply(known, missing, is_list, now_held)
 {
 	if
 	:: now_held -> known = true; missing = false
 	:: !now_held && known ->
 		if
 #ifndef DROPS_AT_ONCE
-		:: is_list && restored && !heard -> missing = true
+		:: is_list && restored && !retention_over -> missing = true
 #endif
 		:: else -> assert(!wanted); known = false; missing = false
 		fi
@@ -84,13 +84,13 @@
 
 proctype watcher()
 {
-	byte mine = 0, told, at;
+	byte mine = 0, received, at;
 	bool known = false, missing = false, now_held, stale = false;
 	mtype what;
 
 	do
 	:: atomic { !asked && empty(reply) -> asked = true }
-	/* Another kind's reply tells the era first; what is under way is of no use then. */
+	/* Another kind's reply carries the new era first; the reply in flight is then discarded. */
 	:: atomic { mine < era ->
 		    mine = era;
 #ifndef BELIEVES_OLDER
@@ -100,43 +100,43 @@
 		    lists = true
 #endif
 		  }
-	:: atomic { reply?told, what, at, now_held ->
+	:: atomic { reply?received, what, at, now_held ->
 		    asked = false;
 		    if
 		    :: stale -> stale = false
 #ifndef BELIEVES_OLDER
-		    :: !stale && told < mine -> lists = true
+		    :: !stale && received < mine -> lists = true
 #endif
-		    :: !stale && told > mine -> mine = told; lists = true
+		    :: !stale && received > mine -> mine = received; lists = true
 		    :: else ->
 			if
-			:: what == LIST -> since = at; lists = false; take(known, missing, true, now_held); feed!told, now_held
-			:: what == EVENT -> since = at; take(known, missing, false, now_held); feed!told, now_held
+			:: what == LIST -> since = at; lists = false; apply(known, missing, true, now_held); feed!received, now_held
+			:: what == EVENT -> since = at; apply(known, missing, false, now_held); feed!received, now_held
 			:: what == NOTHING -> since = at
 			:: what == GONE -> lists = true
 			fi
 		    fi }
-	:: atomic { missing && heard -> missing = false; assert(!wanted); known = false }
+	:: atomic { missing && retention_over -> missing = false; assert(!wanted); known = false }
 	:: timeout -> assert(known == wanted); break
 	od
 }
 
 proctype fed()
 {
-	byte mine = 0, told;
+	byte mine = 0, received;
 	bool known = false, missing = false, now_held, behind = false;
 
 	do
-	:: atomic { feed?told, now_held ->
+	:: atomic { feed?received, now_held ->
 		    if
-		    :: told >= mine -> mine = told; take(known, missing, true, now_held)
+		    :: received >= mine -> mine = received; apply(known, missing, true, now_held)
 		    :: else -> skip
 		    fi }
 #ifdef TAKES_OLDER_FEED
-	/* Another feeder, cut off since before the evacuation, gives its list; it is of the era before. */
-	:: atomic { !behind && mine > 0 -> behind = true; take(known, missing, true, false) }
+	/* Another feeder, cut off from the store since before the evacuation, sends its list of the previous era. */
+	:: atomic { !behind && mine > 0 -> behind = true; apply(known, missing, true, false) }
 #endif
-	:: atomic { missing && heard -> missing = false; assert(!wanted); known = false }
+	:: atomic { missing && retention_over -> missing = false; assert(!wanted); known = false }
 	:: timeout -> assert(known == wanted); break
 	od
 }
--- a/spec/feed.pml
+++ b/spec/feed.pml
@@ -1,21 +1,21 @@
 /*
- * The feed: a VM that watches the store takes a feed, and may lose it again. The configuration is too
- * large to be told, so the feeder only announces that it has changed.
+ * The feed: a VM that watches the store subscribes to a feeder, and may lose the feed again. The
+ * configuration is too large to be sent, so the feeder only announces that it has changed.
  *
- * Follows src/core/follow.c and src/core/hearing_links.c. The feeder may end at any moment, and messages
- * may be late; a read of the list takes its time, and sees the store as it is at its end.
+ * Models src/core/follow.c and src/core/hearing_links.c. The feeder may terminate at any time, and
+ * messages may be late; a read of the list takes some time, and returns the store's state at its end.
  *
- * Promise: once nothing more happens, the VM knows the configuration that the store has.
+ * Property: once no more events occur, the VM knows the configuration that is in the store.
  */
 #define CHANGES 2
 
-mtype = { ANNOUNCED, NEWS, CLOSED };
+mtype = { ANNOUNCED, STATUS, CLOSED };
 
 chan feed = [6] of { mtype };
 byte version = 1;           /* of the configuration in the store */
-byte known = 0;             /* by the VM */
+byte known = 0;             /* the version that the VM knows */
 bool connected = false;
-bool ended = false;         /* the feeder */
+bool ended = false;         /* the feeder has terminated */
 
 proctype store()
 {
@@ -27,26 +27,26 @@
 	od
 }
 
-/* Watches the store all the time; what it has is sent on connecting, then each change, and now and then
- * that this is all. */
+/* Watches the store all the time. Announces its version when the VM connects, then each change, and sends
+ * its status, which says that nothing else is pending. */
 proctype feeder()
 {
-	byte told = 0;
-	bool said_all = false;
+	byte announced = 0;
+	bool status_sent = false;
 
 	do
-	:: atomic { connected && told == 0 -> told = version; feed!ANNOUNCED }
-	:: atomic { told > 0 && !said_all -> said_all = true; feed!NEWS }
-	:: atomic { connected && told > 0 && told < version -> told = version; feed!ANNOUNCED }
+	:: atomic { connected && announced == 0 -> announced = version; feed!ANNOUNCED }
+	:: atomic { announced > 0 && !status_sent -> status_sent = true; feed!STATUS }
+	:: atomic { connected && announced > 0 && announced < version -> announced = version; feed!ANNOUNCED }
 	:: atomic { connected -> ended = true; feed!CLOSED; break }
-	:: atomic { told == 1 + CHANGES && said_all -> break }
+	:: atomic { announced == 1 + CHANGES && status_sent -> break }
 	od
 }
 
 proctype vm()
 {
-	bool following = true;            /* as hearing keeps it */
-	bool watches = true, lists = true, owed = false; /* as follow.c does */
+	bool following = true;            /* the VM watches the store itself, as in hearing.c */
+	bool watches = true, lists = true, owed = false; /* calls of one kind, as in follow.c; owed: a read is due */
 
 	do
 	:: atomic { lists -> known = version; lists = false; owed = false }
@@ -59,7 +59,7 @@
 		    watches = false
 #endif
 		  }
-	:: atomic { feed?NEWS ->
+	:: atomic { feed?STATUS ->
 		    following = false;
 		    watches = false;
 #ifdef DROPS_WHAT_IS_OWED
--- a/spec/handover.pml
+++ b/spec/handover.pml
@@ -1,17 +1,17 @@
 /*
- * A request that another VM gathers: one taker, two gatherers, one shard, two tries allowed.
+ * Hand-over of a request: one taker, two gatherers, one shard, two sub-requests allowed.
  *
- * Follows src/core/handover.c and src/tasks/hop_server.c. Any message may be late, as a gatherer that
- * is frozen reads and says nothing; a gatherer may die at any step, know an older configuration, not
- * take the request, or find no searcher with room.
+ * Models src/core/handover.c and src/tasks/hop_server.c. Any message may be late, as a suspended
+ * gatherer neither reads nor sends; a gatherer may terminate at any step, have an older configuration,
+ * reject the request, or find no searcher with capacity.
  *
- * Promises: searchers of the shard run the request twice at most, whoever gathers; a caller that is
- * told "not run" is told the truth, also afterwards; it is told once; nobody gathers by an older
- * configuration than the one that the request was routed by.
+ * Properties: searchers of the shard run the request at most twice, whichever VM gathers; if a caller
+ * is answered "not run", the request has not run and never will; a caller is answered once; no VM
+ * gathers with an older configuration than the one by which the request was routed.
  */
 #define TRIES 2
 
-mtype = { REQUEST, GO, CANCEL, TAKEN, NOT_TAKEN, ANSWER, NO_ROOM };
+mtype = { REQUEST, GRANT, CANCEL, ACCEPTED, REJECTED, ANSWER, NO_CAPACITY };
 mtype = { NOTHING, ANSWERED, NOT_RUN, FAILED };
 
 chan to[2] = [4] of { mtype };
@@ -19,20 +19,20 @@
 bool dead[2];
 bool older[2];
 byte runs = 0;
-mtype told = NOTHING;
+mtype answered = NOTHING; /* what the caller was answered */
 
 inline send_one()
 {
 	runs++;
 	assert(runs <= TRIES);
-	assert(told != NOT_RUN)
+	assert(answered != NOT_RUN)
 }
 
-inline tell(what)
+inline answer(what)
 {
-	assert(told == NOTHING);
-	told = what;
-	assert(told != NOT_RUN || runs == 0)
+	assert(answered == NOTHING);
+	answered = what;
+	assert(answered != NOT_RUN || runs == 0)
 }
 
 proctype gatherer(byte me)
@@ -41,10 +41,10 @@
 
 idle:	if
 	:: atomic { dead[me] = true; goto gone }
-	:: atomic { to[me]?GO -> goto idle }
+	:: atomic { to[me]?GRANT -> goto idle }
 	:: atomic { to[me]?CANCEL -> goto idle }
 	:: atomic { to[me]?REQUEST ->
-		    /* What was read with it is looked at first: a cancelled one is not begun. */
+		    /* Messages read together with the request come first: a cancelled request is not started. */
 		    if
 		    :: to[me]?[CANCEL] -> to[me]?CANCEL; goto idle
 		    :: else -> skip
@@ -52,14 +52,15 @@
 	fi;
 	if
 	:: atomic { dead[me] = true; goto gone }
-	:: atomic { from[me]!NOT_TAKEN; goto idle }
+	:: atomic { from[me]!REJECTED; goto idle }
 #ifdef TAKES_OLDER
-	:: atomic { from[me]!TAKEN; assert(!older[me]); goto taken }
+	:: atomic { from[me]!ACCEPTED; assert(!older[me]); goto accepted }
 #else
-	:: atomic { !older[me] -> from[me]!TAKEN; goto taken }
+	:: atomic { !older[me] -> from[me]!ACCEPTED; goto accepted }
 #endif
 	fi;
-taken:	allowed = 1;
+accepted:
+	allowed = 1;
 	sent = 0;
 #ifdef ALL_AT_ONCE
 	allowed = TRIES;
@@ -67,10 +68,10 @@
 	do
 	:: atomic { dead[me] = true; goto gone }
 	:: atomic { sent < allowed -> sent++; send_one() }
-	:: atomic { to[me]?GO -> allowed = TRIES }
+	:: atomic { to[me]?GRANT -> allowed = TRIES }
 	:: atomic { to[me]?CANCEL -> goto idle }
 	:: atomic { sent > 0 -> from[me]!ANSWER; goto idle }
-	:: atomic { sent == 0 -> from[me]!NO_ROOM; goto idle }
+	:: atomic { sent == 0 -> from[me]!NO_CAPACITY; goto idle }
 	od;
 gone:	skip
 }
@@ -78,29 +79,29 @@
 proctype taker()
 {
 	byte at = 0, left = TRIES;
-	bool taken = false, unknown = false;
+	bool accepted = false, unknown = false;
 
 hand_over:
-	atomic { to[at]!REQUEST; left--; taken = false }
+	atomic { to[at]!REQUEST; left--; accepted = false }
 	do
-	:: atomic { from[at]?TAKEN ->
-		    taken = true;
+	:: atomic { from[at]?ACCEPTED ->
+		    accepted = true;
 		    if
-		    :: left > 0 -> to[at]!GO; left = 0
+		    :: left > 0 -> to[at]!GRANT; left = 0
 		    :: else -> skip
 		    fi }
-	:: atomic { from[at]?NOT_TAKEN -> left++; goto go_on }
-	:: atomic { from[at]?ANSWER -> tell(ANSWERED); goto done }
-	:: atomic { from[at]?NO_ROOM ->
+	:: atomic { from[at]?REJECTED -> left++; goto go_on }
+	:: atomic { from[at]?ANSWER -> answer(ANSWERED); goto done }
+	:: atomic { from[at]?NO_CAPACITY ->
 		    if
 #ifndef BELIEVES_REFUSAL
-		    :: unknown -> tell(FAILED)
+		    :: unknown -> answer(FAILED)
 #endif
-		    :: else -> tell(NOT_RUN)
+		    :: else -> answer(NOT_RUN)
 		    fi;
 		    goto done }
-	:: atomic { !taken -> to[at]!CANCEL; unknown = true; goto go_on } /* silent */
-	:: atomic { taken -> to[at]!CANCEL; tell(FAILED); goto done } /* the deadline */
+	:: atomic { !accepted -> to[at]!CANCEL; unknown = true; goto go_on } /* unresponsive */
+	:: atomic { accepted -> to[at]!CANCEL; answer(FAILED); goto done } /* the deadline */
 	:: atomic { dead[at] && empty(from[at]) -> unknown = true; goto go_on }
 	od;
 
@@ -109,19 +110,19 @@
 		left = TRIES;
 #endif
 		if
-		:: left == 0 -> tell(FAILED); goto done
+		:: left == 0 -> answer(FAILED); goto done
 		:: left > 0 && at == 0 -> at = 1
 		:: left > 0 && at == 1 ->
 			if
 #ifndef GATHERS_AFTER_ALL
-			:: unknown -> tell(FAILED); goto done
+			:: unknown -> answer(FAILED); goto done
 #endif
 			:: else -> skip
 			fi;
-			left = TRIES; /* here */
+			left = TRIES; /* the taker gathers itself */
 			do
 			:: left > 0 -> left--; send_one()
-			:: tell(ANSWERED); goto done
+			:: answer(ANSWERED); goto done
 			od
 		fi
 	}
--- a/spec/run.sh
+++ b/spec/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks every model to the end, then each variant without one safeguard, which must be caught.
+# Checks the full state space of every model, and each variant without one safeguard, in which spin must find an error.
 set -u
 cd "$(dirname "$0")"
 WORK=$(mktemp -d)
@@ -14,7 +14,7 @@
 		spin -a "${define[@]}" "$OLDPWD/$1.pml" >spin.log 2>&1 &&
 			gcc -w -O2 -DSAFETY -DCOLLAPSE -o pan pan.c >gcc.log 2>&1 &&
 			timeout 120 ./pan -m100000 >pan.log 2>&1
-		# A search that was cut short proves nothing.
+		# An incomplete search without an error is no proof.
 		if grep -q 'search not completed\|max search depth too small\|out of memory' pan.log; then
 			[ -s ./*.trail ] 2>/dev/null || { echo broken; exit; }
 		fi
@@ -26,7 +26,7 @@
 	local got
 	got=$(check "$1" "$2")
 	case $3:$got in
-	none:0) echo "ok   $1: every promise holds" ;;
+	none:0) echo "ok   $1: all properties hold" ;;
 	some:[1-9]*) echo "ok   $1 without its safeguard ($2): caught" ;;
 	*) echo "FAIL $1 ${2:-as it is}: errors $got" ;;
 	esac
