--- a/scripts/bench_front.sh
+++ b/scripts/bench_front.sh
@@ -20,5 +20,5 @@
 wait "${loads[@]}"
 after=$(ticks)
 subs=$(metric 'sub_requests_total{purpose="first"}')
-echo "front daemon: $(((after - before) * 1000000 / $(getconf CLK_TCK) / subs)) us of processor time a sub-request ($subs sub-requests, $(cat "$RUN"/got.* | paste -sd+ | bc 2>/dev/null || cat "$RUN"/got.* | tr '\n' ' ') whole answers)"
+echo "front daemon: $(((after - before) * 1000000 / $(getconf CLK_TCK) / subs)) us of processor time a sub-request ($subs sub-requests, $(cat "$RUN"/got.* | paste -sd+ | bc 2>/dev/null || cat "$RUN"/got.* | tr '\n' ' ') complete answers)"
 grep -E 'VmHWM|RssAnon' "/proc/${FRONT_PID[0]}/status" | tr -s '\t ' ' ' | sed 's/^/front daemon: /'
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -79,7 +79,7 @@
 		map(. * 10 | round / 10) | @tsv' "$RUN/out.json"
 }
 
-echo "| $SITE: $BROAD | policy | urgent p50 ms | p99 | p99.9 | normal p99 | whole % | coverage % | extra load % | whole/s | refused | refusal p99 ms | wrong, cut or failed |"
+echo "| $SITE: $BROAD | policy | urgent p50 ms | p99 | p99.9 | normal p99 | complete % | coverage % | extra load % | complete/s | refused | refusal p99 ms | wrong, aborted or failed |"
 echo "|---|---|---|---|---|---|---|---|---|---|---|---|---|"
 for scenario in "${SCENARIOS[@]}"; do
 	for policy in ours baseline; do
--- a/tests/system/faults.sh
+++ b/tests/system/faults.sh
@@ -1,6 +1,6 @@
-# Real processes under real faults: a searcher frozen by SIGSTOP, one killed, every open connection gone
-# silent, the platform down. Callers see whole, right answers throughout, since each group keeps a
-# working searcher and deadlines are ample; nothing is cut.
+# Real processes under faults: one searcher is suspended by SIGSTOP, one is killed, all open connections go silent, and
+# the platform is down. All answers must be complete and correct and no request aborted, since each group keeps a
+# working searcher and the deadlines are long.
 . tests/lib.sh
 site_start brodnica || exit 1
 # shellcheck disable=SC2046
@@ -17,6 +17,6 @@
 for name in "${!SEARCHER_CONTROL[@]}"; do
 	control "$name" '{"silence_open_connections":true}' >/dev/null
 done
-wait $load || fail "a request was cut, unanswered or wrong: $(cat "$RUN/load.json")"
+wait $load || fail "a request was aborted, unanswered or wrong: $(cat "$RUN/load.json")"
 jq -e '[.mix[] | .partial + .refused + .failed] | add == 0' "$RUN/load.json" >/dev/null ||
-	fail "not all whole: $(cat "$RUN/load.json")"
+	fail "not all answers are complete: $(cat "$RUN/load.json")"
--- a/tests/system/front_poison.sh
+++ b/tests/system/front_poison.sh
@@ -41,8 +41,8 @@
 
 # Other requests are served.
 for vm in 0 1 2; do
-	attempt $vm get.example /get/sound && [ "$(status)" = 200 ] || fail "VM $vm: a sound request gets $(status)"
-	attempt $vm find.example /find/sound && [ "$(status)" = 200 ] || fail "VM $vm: a sound gather gets $(status)"
+	attempt $vm get.example /get/sound && [ "$(status)" = 200 ] || fail "VM $vm: an ordinary request gets $(status)"
+	attempt $vm find.example /find/sound && [ "$(status)" = 200 ] || fail "VM $vm: an ordinary gather gets $(status)"
 done
 
 # Each VM rejects the requests as not run, with Retry-After; so does a VM that is restarted now.
--- a/tests/system/front_poison_hop.sh
+++ b/tests/system/front_poison_hop.sh
@@ -15,5 +15,5 @@
 sleep 5.2
 for ((i = 0; i < 6; i++)); do round; done
 [ "$(crashes /find/crash late)" -le 3 ] || fail "it reached searchers in $(crashes /find/crash late) of 6 attempts long after the third crash"
-attempt 0 find.example /find/sound && [ "$(status)" = 200 ] || fail "a sound gather gets $(status)"
+attempt 0 find.example /find/sound && [ "$(status)" = 200 ] || fail "an ordinary gather gets $(status)"
 grep -q "gathered_by=" "$RUN/front-0.log" || fail "no gather was handed over"
