--- a/scripts/bench_front.sh
+++ b/scripts/bench_front.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Processor time a sub-request and memory of a daemon that forwards by routes: gathers over 16 shards, one
-# after the other on each of four connections, against the stand-in for the users' platform.
+# Measures the processor time a sub-request and the memory of a daemon that forwards by routes. Load: pipelined gathers
+# over 16 shards on four connections. The searchers are those of the stand-in for the users' platform.
 set -u
 cd "$(dirname "$0")/.."
 PORT_BASE=${PORT_BASE:-14000} DRAIN_MS=100
@@ -20,5 +20,5 @@
 wait "${loads[@]}"
 after=$(ticks)
 subs=$(metric 'sub_requests_total{purpose="first"}')
-echo "front daemon: $(((after - before) * 1000000 / $(getconf CLK_TCK) / subs)) us of processor time a sub-request ($subs sub-requests, $(cat "$RUN"/got.* | paste -sd+ | bc 2>/dev/null || cat "$RUN"/got.* | tr '\n' ' ') whole answers)"
+echo "front daemon: $(((after - before) * 1000000 / $(getconf CLK_TCK) / subs)) us of processor time a sub-request ($subs sub-requests, $(cat "$RUN"/got.* | paste -sd+ | bc 2>/dev/null || cat "$RUN"/got.* | tr '\n' ' ') complete answers)"
 grep -E 'VmHWM|RssAnon' "/proc/${FRONT_PID[0]}/status" | tr -s '\t ' ' ' | sed 's/^/front daemon: /'
