--- a/tests/days/play.sh
+++ b/tests/days/run_kinds.sh
@@ -2,7 +2,7 @@
 # Runs one simulated day for each line of kinds.txt, with that fault or plan entry three times in the day. Prints the
 # days that break a rule. Needs the users' bench; not part of CI.
 #
-#   tests/days/play.sh BENCH SITE [JOBS]
+#   tests/days/run_kinds.sh BENCH SITE [JOBS]
 #
 # A line of kinds.txt: 'plan' or 'faults', the kind, then fields; the words of `how` and `on` are joined by '_'.
 set -u
