--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -17,7 +17,10 @@
 #define MIN_CLAIM_BACKOFF_US 5000
 #define MAX_CLAIM_BACKOFF_US 500000
 #define CONFLICT_BACKOFF_US 2000
+/* After a write conflict, the bucket is read before each of this many writes: other VMs write it
+ * too. */
 #define CONTENDED_WRITES 16
+/* After this many calls in a row without an answer the platform counts as unavailable. */
 #define CLAIM_OUTAGE_FAILURES 2
 #define OUTAGE_PROBE_US 300000
 /* How long a recorded "ran" outcome may wait to share another write. */
@@ -582,7 +585,8 @@
 	op->issued_ms = issued_ms;
 	op->owner = owner;
 	bucket = bucket_of(claims, op->key);
-	/* Waiting would not settle the claim; the probe detects the end of the outage. */
+	/* During an outage the claim fails at once, since waiting would not settle it. A periodic
+	 * probe detects when the platform answers again. */
 	if (in_outage(claims)) {
 		claims->ops->ended(claims->ctx, owner, CLAIM_UNAVAILABLE);
 		op_free(op);
--- a/src/core/poison.h
+++ b/src/core/poison.h
@@ -134,7 +134,7 @@
 void poison_list_begin(poison_t *poison);
 void poison_list_end(poison_t *poison);
 /**
- * The store was restored from a backup copy and may have lost updates.
+ * The store was restored from an older copy of its data and may have lost updates.
  * @param after_watchers publish later than the VMs that watch the store, which may publish the same
  */
 void poison_store_restored(poison_t *poison, bool after_watchers, uint64_t now_us);
--- a/src/core/poison_share.c
+++ b/src/core/poison_share.c
@@ -23,9 +23,9 @@
 /* Delay before a failed update is published again. */
 #define STRIKE_PUBLISH_RETRY_US 1000000
 
-/* After the store was restored from a backup copy, each VM that watches the store republishes its
- * records at a random time within the first period, unless it receives the same update from another
- * VM before. VMs that follow a feed do so within the second period, after the first. */
+/* After the store was restored from an older copy of its data, each VM that watches the store
+ * republishes its records at a random time within the first period, unless it receives the same
+ * update from another VM before. Fed VMs do so within the second period, after the first. */
 #define REPUBLISH_WATCHER_US 3000000
 #define REPUBLISH_FED_US 30000000
 
--- a/src/core/query.c
+++ b/src/core/query.c
@@ -83,7 +83,8 @@
 	g_ptr_array_add(query->parts, part);
 }
 
-/* A lookup asks the partition of its record; an action is spread over partitions by its key. */
+/* Pins exactly one partition: for a lookup the one that holds its record, for an action
+ * (SERVICE_ONCE) one chosen by a hash of its key, which spreads actions over the partitions. */
 static void pin_one(query_t *query)
 {
 	const request_t *request = query->request;
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -29,7 +29,7 @@
 	uint32_t extras[RETRY_BUDGET_SLOTS];
 } retry_budget_t;
 
-/** The limit as configured by the deployment. */
+/** The configured limit. */
 typedef struct retry_bound_t {
 	double ratio;
 	uint64_t window_us;
--- a/src/core/route_state.c
+++ b/src/core/route_state.c
@@ -16,8 +16,8 @@
 /* The hang rate of a new route: after two answers in time, its late sub-requests count against
  * searchers. */
 #define HANG_RATE_INITIAL 0.5
-/* A higher hang rate is the route's own: so many searchers do not fail to answer or slow down at
- * once, unless a data centre is lost. */
+/* Above this rate late sub-requests are attributed to the route and not to its searchers: only the
+ * loss of a data centre makes so large a share of the searchers hang or slow down at once. */
 #define HANG_RATE_MAX 0.45
 
 /*
--- a/src/core/sharing.h
+++ b/src/core/sharing.h
@@ -30,7 +30,7 @@
 			    */
 } sharing_t;
 
-/** @param constant constant part of the deployment's retry bound */
+/** @param constant constant part of the configured retry bound */
 void sharing_update(sharing_t *sharing, const fleet_t *fleet, const char *own_name,
 		    uint32_t constant);
 void sharing_clear(sharing_t *sharing);
--- a/src/core/snapshot.c
+++ b/src/core/snapshot.c
@@ -152,10 +152,10 @@
 	return covered;
 }
 
-/** What the replicas of one group report about versions. */
+/** Which index versions the replicas of one group report to hold. */
 typedef struct group_versions_t {
-	bool has_versions;    /* hold any version */
-	bool holds_candidate; /* hold the version in question */
+	bool has_versions;    /* some replica holds at least one version */
+	bool holds_candidate; /* some replica holds the candidate's version */
 } group_versions_t;
 
 /*
--- a/src/core/store_sync.c
+++ b/src/core/store_sync.c
@@ -257,10 +257,9 @@
 }
 
 /*
- * After a restore the store assigns revisions a second time. A watch from such a revision does not
- * get a 410: its reply has the changes after that revision, but not those that replaced the changes
- * known here. So the lists are read again, with a random delay, since many VMs notice the restore
- * at the same moment.
+ * After a restore the store gives out revision numbers again. A watch from a revision of before the
+ * restore is not rejected with a 410, and misses what was changed under the reused numbers. So the
+ * lists are read again, with a random delay, since many VMs notice the restore at the same moment.
  */
 void store_sync_restored(store_sync_t *sync, uint64_t now_us)
 {
@@ -284,9 +283,10 @@
 	sync->kinds[kind].config.wait_ms = wait_ms;
 }
 
-/* Until this VM watches the store or has a feed, only such calls show whether the store answers. A
- * VM that starts while the store is unreachable probes it seldom; once another call is answered it
- * must not wait for the next probe. */
+/* Handles the end of a call to the store that the store sync did not make. Until this VM watches
+ * the store or has a feed, only these calls show whether the store answers. A VM that starts while
+ * the store is unreachable probes it seldom: once one of these calls is answered, the next probe is
+ * sent at once. */
 void store_sync_other_call_ended(store_sync_t *sync, bool answered, uint64_t now_us)
 {
 	if (sync->watches && answered && sync->probing && !sync->probe_kind->pending)
@@ -314,12 +314,14 @@
 }
 
 /*
- * A feeder whose data is older than subscribers accept reports itself as unreliable: its
- * subscribers then check the store themselves and keep the feed. After an outage it gets replies
- * for one kind before the other; if it reported that it reaches the store, with the age of the
- * other kind, all subscribers would leave it at the moment of the store's recovery. A VM that is
- * fed reports itself as unreliable too and names its feeder: if fed VMs fed others, data could be
- * relayed in a circle.
+ * A feeder reports itself as unreliable while its data is older than subscribers accept. Its
+ * subscribers then check the store themselves and keep the feed. This matters after an outage, when
+ * the store's replies for one kind of object arrive before those for the other. If the feeder then
+ * reported that it reaches the store, with the age of the other kind, all subscribers would leave
+ * it just as the store recovers.
+ *
+ * A VM that is fed always reports itself as unreliable, and names its feeder. If fed VMs fed
+ * others, data could be relayed in a circle.
  */
 store_sync_status_t store_sync_status(const store_sync_t *sync, uint64_t now_us)
 {
--- a/src/core/vm.c
+++ b/src/core/vm.c
@@ -4,13 +4,12 @@
  */
 #include "core/vm.h"
 
-/* Cost of a sub-request: processor time on a whole core, including system calls and wake-ups (23.1
- * s for 360,059 of them), and bits on the link (400 B of records with their headers, and the
- * request). */
+/* Cost of a sub-request: processor time on a whole core, including system calls and wake-ups, and
+ * bits on the link (the request, and a reply with 400 B of records and its headers). */
 #define PART_PROCESSOR_US 64.0
 #define PART_BITS 7200.0
 /* Cost of an answer: it is read from one connection and written to another, with some 30 bytes of
- * stamp per shard. */
+ * the searcher's response signature per shard. */
 #define ANSWER_PROCESSOR_US 200.0
 #define ANSWER_BITS 32000.0
 
