--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -9,8 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reply limits, above the largest reply of the deployments' searchers and store (1 MB and its
- * framing). */
+/* Reply limits, above the largest reply of searchers and store (1 MB and its framing). */
 #define REPLY_BODY_MAX_BYTES (8u << 20)
 #define REPLY_HEAD_MAX_BYTES (64u << 10)
 /* An idle connection isn't reused in this last part of the peer's idle time-out, because the
