--- a/src/tool/explain.c
+++ b/src/tool/explain.c
@@ -171,7 +171,8 @@
 	}
 }
 
-/* Prints how many sub-requests of all VMs to the searcher had each outcome around that time. */
+/* Prints how many sub-requests of all VMs to the searcher had each outcome within
+ * OUTCOMES_WITHIN_MS of the answer. */
 static void print_searcher_outcomes(const explanation_t *explanation, const char *searcher)
 {
 	g_autoptr(GHashTable) counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
