--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -96,7 +96,7 @@
 	if (!conn->busy) {
 		close_and_report(conn, HTTP_CONN_PROTOCOL_ERROR);
 	} else {
-		consumed = http_message_feed(conn->reply, data, bytes);
+		consumed = http_message_parse(conn->reply, data, bytes);
 		switch (http_message_state(conn->reply)) {
 		case HTTP_MESSAGE_INCOMPLETE:
 			break;
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -318,7 +318,7 @@
 	       message->parser.status_code / 100 == 1;
 }
 
-size_t http_message_feed(http_message_t *message, const char *data, size_t bytes)
+size_t http_message_parse(http_message_t *message, const char *data, size_t bytes)
 {
 	size_t consumed = 0;
 
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -46,7 +46,7 @@
 void http_message_expect_no_body(http_message_t *message);
 /** Parse bytes; returns the number consumed: all of them while the state stays
  * HTTP_MESSAGE_INCOMPLETE. */
-size_t http_message_feed(http_message_t *message, const char *data, size_t bytes);
+size_t http_message_parse(http_message_t *message, const char *data, size_t bytes);
 /** The connection was closed cleanly; this completes a reply without a length. */
 void http_message_feed_end(http_message_t *message);
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -33,7 +33,7 @@
 	uint64_t serial;
 	uint64_t state_since_us; /* when it began to idle, receive, reply or linger */
 	bool lingering;
-	bool feeding;
+	bool parsing;
 	GList link; /* in the server's list */
 };
 
@@ -93,16 +93,16 @@
 
 /* ---- replies ---- */
 
-static void feed(connection_t *connection, const char *data, size_t bytes);
+static void parse(connection_t *connection, const char *data, size_t bytes);
 
-static void feed_pipelined(connection_t *connection)
+static void parse_pipelined(connection_t *connection)
 {
 	GByteArray *pipelined = connection->pipelined;
 
 	connection->pipelined = NULL;
 	if (!pipelined)
 		return;
-	feed(connection, (const char *)pipelined->data, pipelined->len);
+	parse(connection, (const char *)pipelined->data, pipelined->len);
 	g_byte_array_unref(pipelined);
 }
 
@@ -157,8 +157,8 @@
 	if (!sock_is_flushed(connection->sock))
 		return;
 	end_exchange(connection);
-	if (!connection->feeding)
-		feed_pipelined(connection);
+	if (!connection->parsing)
+		parse_pipelined(connection);
 }
 
 /* ---- requests ---- */
@@ -239,21 +239,21 @@
 	g_byte_array_append(connection->pipelined, (const guint8 *)data, (guint)bytes);
 }
 
-static void feed(connection_t *connection, const char *data, size_t bytes)
+static void parse(connection_t *connection, const char *data, size_t bytes)
 {
-	connection->feeding = true;
+	connection->parsing = true;
 	while (bytes && !connection->exchange && !connection->lingering) {
 		size_t consumed;
 
 		if (!http_message_started(connection->message))
 			connection->state_since_us = loop_arrival_us(connection->server->loop);
-		consumed = http_message_feed(connection->message, data, bytes);
+		consumed = http_message_parse(connection->message, data, bytes);
 		data += consumed;
 		bytes -= consumed;
 		if (!handle_message_state(connection))
 			break;
 	}
-	connection->feeding = false;
+	connection->parsing = false;
 	if (bytes && connection->exchange)
 		buffer_pipelined(connection, data, bytes);
 }
@@ -276,7 +276,7 @@
 	if (connection->lingering)
 		return;
 	if (!connection->exchange) {
-		feed(connection, data, bytes);
+		parse(connection, data, bytes);
 		return;
 	}
 	buffer_pipelined(connection, data, bytes);
@@ -294,7 +294,7 @@
 	if (!connection->exchange || !connection->exchange->replied)
 		return;
 	end_exchange(connection);
-	feed_pipelined(connection);
+	parse_pipelined(connection);
 }
 
 static void on_ended(void *ctx, sock_close_reason_t reason)
--- a/tests/message_test.c
+++ b/tests/message_test.c
@@ -102,7 +102,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		http_message_t *message = message_new(cases[i].kind);
 
-		http_message_feed(message, cases[i].bytes, strlen(cases[i].bytes));
+		http_message_parse(message, cases[i].bytes, strlen(cases[i].bytes));
 		check(&cases[i], message);
 		http_message_free(message);
 	}
@@ -116,7 +116,7 @@
 		http_message_t *message = message_new(cases[i].kind);
 
 		for (const char *byte = cases[i].bytes; *byte; byte++)
-			http_message_feed(message, byte, 1);
+			http_message_parse(message, byte, 1);
 		check(&cases[i], message);
 		http_message_free(message);
 	}
@@ -129,7 +129,7 @@
 	http_message_t *message = message_new(REQUEST);
 
 	(void)state;
-	http_message_feed(message, text, strlen(text));
+	http_message_parse(message, text, strlen(text));
 	assert_int_equal(http_message_state(message), HTTP_MESSAGE_HEAD_TOO_LARGE);
 	http_message_free(message);
 }
@@ -139,12 +139,12 @@
 {
 	static const char text[] = "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
 	http_message_t *message = message_new(REQUEST);
-	size_t taken = http_message_feed(message, text, strlen(text));
+	size_t taken = http_message_parse(message, text, strlen(text));
 
 	(void)state;
 	assert_string_equal(http_message_target(message), "/a");
 	http_message_reset(message);
-	http_message_feed(message, text + taken, strlen(text) - taken);
+	http_message_parse(message, text + taken, strlen(text) - taken);
 	assert_string_equal(http_message_target(message), "/b");
 	http_message_free(message);
 }
@@ -156,12 +156,12 @@
 	http_message_t *message = message_new(REPLY);
 
 	(void)state;
-	http_message_feed(message, text, strlen(text));
+	http_message_parse(message, text, strlen(text));
 	http_message_feed_end(message);
 	assert_int_equal(http_message_state(message), COMPLETE);
 	assert_false(http_message_keeps_alive(message));
 	http_message_reset(message);
-	http_message_feed(message, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", 40);
+	http_message_parse(message, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", 40);
 	http_message_feed_end(message);
 	assert_int_equal(http_message_state(message), INVALID);
 	http_message_free(message);
@@ -173,7 +173,7 @@
 	http_message_t *message = message_new(REQUEST);
 
 	(void)state;
-	http_message_feed(message, text, strlen(text));
+	http_message_parse(message, text, strlen(text));
 	assert_int_equal(http_message_header_occurrences(message, "X-OWN"), 2);
 	assert_string_equal(http_message_header(message, "x-own"), "1");
 	assert_string_equal(http_message_header_at(message, 1).value, "2");
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -18,7 +18,7 @@
 	const http_message_limits_t limits = {.head_bytes = 16384, .body_bytes = 16384};
 	http_message_t *message = http_message_new(kind, limits);
 
-	http_message_feed(message, text, strlen(text));
+	http_message_parse(message, text, strlen(text));
 	assert_int_equal(http_message_state(message), HTTP_MESSAGE_COMPLETE);
 	return message;
 }
