--- a/src/commands/intent.c
+++ b/src/commands/intent.c
@@ -11,8 +11,8 @@
 	return text ? text : "";
 }
 
-plan_t *intent_plan(const GString *body, const active_config_t *adoption, const engine_t *engine,
-		    err_t *err)
+plan_t *intent_plan(const GString *body, const active_config_t *active_config,
+		    const engine_t *engine, err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
 	plan_t *plan = NULL;
@@ -21,7 +21,7 @@
 	if (!plan_verb_parse(string_field(parsed, "verb"), &verb))
 		err_set(err, ERR_VALUE, "verb: must be take-out or bring-back");
 	else
-		plan = plan_make(verb, string_field(parsed, "name"), adoption, engine, err);
+		plan = plan_make(verb, string_field(parsed, "name"), active_config, engine, err);
 	json_decref(parsed);
 	return plan;
 }
@@ -53,11 +53,11 @@
 	return true;
 }
 
-plan_t *intent_confirm(const GString *body, const active_config_t *adoption, const engine_t *engine,
-		       char **by, err_t *err)
+plan_t *intent_confirm(const GString *body, const active_config_t *active_config,
+		       const engine_t *engine, char **by, err_t *err)
 {
 	json_t *parsed = json_loadb(body->str, body->len, JSON_REJECT_DUPLICATES, NULL);
-	plan_t *plan = plan_recompute(string_field(parsed, "plan"), adoption, engine, err);
+	plan_t *plan = plan_recompute(string_field(parsed, "plan"), active_config, engine, err);
 
 	*by = g_strdup(string_field(parsed, "by"));
 	if (plan && !check_losses(plan, json_object_get(parsed, "force"), err)) {
--- a/src/commands/propose.c
+++ b/src/commands/propose.c
@@ -48,7 +48,7 @@
 	return propose;
 }
 
-void propose_free(propose_request_t *propose)
+void propose_request_free(propose_request_t *propose)
 {
 	g_free(propose->id);
 	g_free(propose->by);
--- a/src/commands/propose.h
+++ b/src/commands/propose.h
@@ -22,6 +22,6 @@
  * @return NULL with the error in @p err
  */
 propose_request_t *propose_parse(const GString *body, err_t *err);
-void propose_free(propose_request_t *propose);
+void propose_request_free(propose_request_t *propose);
 
 #endif
--- a/src/queries/status.c
+++ b/src/queries/status.c
@@ -107,10 +107,10 @@
 
 json_t *status_config(const status_source_t *source)
 {
-	const active_config_t *adoption = query_task_active_config(source->queries);
+	const active_config_t *active_config = query_task_active_config(source->queries);
 
-	return json_pack("{s:I, s:O?}", "number", (json_int_t)active_config_number(adoption),
-			 "value", adoption->value);
+	return json_pack("{s:I, s:O?}", "number", (json_int_t)active_config_number(active_config),
+			 "value", active_config->value);
 }
 
 static void add_event(void *ctx, const timeline_event_t *event)
--- a/src/tasks/admin_task.c
+++ b/src/tasks/admin_task.c
@@ -134,7 +134,7 @@
 
 static void serve_propose(admin_task_t *task, http_exchange_t *exchange)
 {
-	const active_config_t *adoption = query_task_active_config(task->source->queries);
+	const active_config_t *active_config = query_task_active_config(task->source->queries);
 	err_t err = {0};
 	propose_request_t *propose = propose_parse(http_exchange_body(exchange), &err);
 	g_autofree char *detail = NULL;
@@ -143,10 +143,10 @@
 		reply_problem(exchange, REFUSAL_BAD_REQUEST, err.text);
 		return;
 	}
-	if (propose->base != active_config_number(adoption)) {
+	if (propose->base != active_config_number(active_config)) {
 		detail = g_strdup_printf("it rests on number %" G_GUINT64_FORMAT
 					 ", but %" G_GUINT64_FORMAT " is in force here",
-					 propose->base, active_config_number(adoption));
+					 propose->base, active_config_number(active_config));
 		reply_problem(exchange, REFUSAL_CONFLICT, detail);
 	} else {
 		const proposal_origin_t origin = {
@@ -155,7 +155,7 @@
 		config_task_propose(task->configs, &origin, propose->base, propose->config,
 				    on_proposed, http_exchange_ref(exchange));
 	}
-	propose_free(propose);
+	propose_request_free(propose);
 }
 
 /* ---- intents ---- */
--- a/src/tasks/config_task.c
+++ b/src/tasks/config_task.c
@@ -166,10 +166,10 @@
 			 json_t *config, config_done_f done, void *ctx)
 {
 	static const proposal_ops_t ops = {.read = do_read, .write = do_write, .ended = do_ended};
-	const active_config_t *adoption = query_task_active_config(task->queries);
+	const active_config_t *active_config = query_task_active_config(task->queries);
 	pending_proposal_t *pending = g_new0(pending_proposal_t, 1);
-	const json_t *history = active_config_number(adoption) == base
-					? json_object_get(adoption->value, "history")
+	const json_t *history = active_config_number(active_config) == base
+					? json_object_get(active_config->value, "history")
 					: NULL;
 
 	pending->task = task;
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -24,7 +24,7 @@
 	void *announce_ctx;
 	engine_t *engine;
 	claims_t *claims;
-	active_config_t adoption;
+	active_config_t active_config;
 	platform_task_t *platform;
 	upstream_task_t *upstreams;
 	timeline_t *timeline;
@@ -376,12 +376,12 @@
 {
 	query_task_t *task = self;
 	config_message_t *offer = message;
-	bool first = active_config_number(&task->adoption) == 0;
+	bool first = active_config_number(&task->active_config) == 0;
 	err_t err = {0};
 
-	switch (active_config_offer(&task->adoption, offer->number, offer->value, &err)) {
+	switch (active_config_offer(&task->active_config, offer->number, offer->value, &err)) {
 	case ACTIVE_CONFIG_REPLACED:
-		engine_configure(task->engine, task->adoption.config, loop_now_us());
+		engine_configure(task->engine, task->active_config.config, loop_now_us());
 		if (task->announce_ops)
 			task->announce_ops->config(task->announce_ctx, offer->number, offer->value);
 		if (first)
@@ -482,7 +482,7 @@
 
 const active_config_t *query_task_active_config(const query_task_t *task)
 {
-	return &task->adoption;
+	return &task->active_config;
 }
 
 static bool has_searcher_status(const service_t *service)
@@ -502,7 +502,7 @@
 {
 	const GPtrArray *services = engine_services(task->engine);
 
-	if (!task->adoption.config)
+	if (!task->active_config.config)
 		return false;
 	for (guint i = 0; i < services->len; i++)
 		if (!has_searcher_status(g_ptr_array_index(services, i)))
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -74,7 +74,7 @@
 	propose_request_t *propose = propose_parse(body, &err);
 
 	if (propose)
-		propose_free(propose);
+		propose_request_free(propose);
 }
 
 /* The frame is signed as by a peer with the key, since the decoder is behind the authentication. */
