--- a/src/queries/front_metrics.c
+++ b/src/queries/front_metrics.c
@@ -109,14 +109,14 @@
 		put_service(out, pool);
 }
 
-static void put_store(GString *out, const store_sync_task_t *supply,
+static void put_store(GString *out, const store_sync_task_t *store_sync,
 		      const platform_counters_t *store)
 {
-	put_metric(out, "store_is_fed", NULL, NULL, store_sync_task_is_fed(supply));
-	put_metric(out, "store_age_us", NULL, NULL, store_sync_task_age_us(supply));
-	for (uint32_t kind = 0; kind < store_sync_task_kind_count(supply); kind++)
+	put_metric(out, "store_is_fed", NULL, NULL, store_sync_task_is_fed(store_sync));
+	put_metric(out, "store_age_us", NULL, NULL, store_sync_task_age_us(store_sync));
+	for (uint32_t kind = 0; kind < store_sync_task_kind_count(store_sync); kind++)
 		put_metric(out, "store_kind_age_us", "kind", store_kind_name((store_kind_t)kind),
-			   store_sync_task_kind_age_us(supply, (store_kind_t)kind));
+			   store_sync_task_kind_age_us(store_sync, (store_kind_t)kind));
 	put_metric(out, "store_calls_total", "kind", "read", store->fetches);
 	put_metric(out, "store_calls_total", "kind", "write", store->writes);
 	for (int reach = PLATFORM_REPLIED + 1; reach < PLATFORM_REACHES; reach++)
@@ -124,7 +124,7 @@
 			   platform_reach_name((platform_reach_t)reach), store->reached[reach]);
 	put_metric(out, "store_calls_unanswered_total", NULL, NULL, store->unknown);
 	put_metric(out, "store_values_damaged_total", NULL, NULL, store->damaged);
-	put_metric(out, "store_era", NULL, NULL, store_sync_task_era(supply));
+	put_metric(out, "store_era", NULL, NULL, store_sync_task_era(store_sync));
 	put_metric(out, "store_replies_outdated_total", NULL, NULL, store->outdated);
 	put_metric(out, "store_eras_malformed_total", NULL, NULL, store->eras_malformed);
 }
@@ -178,8 +178,8 @@
 		   g_hash_table_size(registry_searchers((registry_t *)sources->registry)));
 	put_metric(out, "searcher_entries_ignored_total", NULL, NULL,
 		   sources->reader.entries_ignored);
-	put_metric(out, "vms", NULL, NULL, store_sync_task_vms(sources->supply)->len);
-	put_store(out, sources->supply, sources->store);
+	put_metric(out, "vms", NULL, NULL, store_sync_task_vms(sources->store_sync)->len);
+	put_store(out, sources->store_sync, sources->store);
 	put_requests(out, sources->forwarder);
 	put_poison(out, forwarder_poison(sources->forwarder));
 	put_handovers(out, sources->handovers, sources->gathers_for_others);
--- a/src/queries/front_metrics.h
+++ b/src/queries/front_metrics.h
@@ -17,7 +17,7 @@
 	const forwarder_t *forwarder;
 	const registry_t *registry;
 	const link_counters_t *links;
-	const store_sync_task_t *supply;
+	const store_sync_task_t *store_sync;
 	const platform_counters_t *store;
 	const handovers_t *handovers;
 	uint32_t
--- a/src/tasks/front_task.c
+++ b/src/tasks/front_task.c
@@ -41,7 +41,7 @@
 	link_task_t *links;
 	gather_task_t *gathers; /* requests handed over to other VMs */
 	hop_server_t *hops;	/* requests handed over by other VMs */
-	store_sync_task_t *supply;
+	store_sync_task_t *store_sync;
 	poison_task_t *poison;
 	platform_task_t *platform;
 	loop_timer_t forwarder_timer;
@@ -97,7 +97,7 @@
 static void update_fleet(front_task_t *task)
 {
 	const routing_t *routing = forwarder_routing(task->forwarder);
-	const fleet_t fleet = {.vms = store_sync_task_vms(task->supply),
+	const fleet_t fleet = {.vms = store_sync_task_vms(task->store_sync),
 			       .regions = task->regions,
 			       .connections =
 				       routing ? routing_min_gather_connections(routing) : 0};
@@ -111,7 +111,7 @@
 static void set_shares(void *ctx)
 {
 	front_task_t *task = ctx;
-	const cold_members_t members = store_sync_task_cold_members(task->supply);
+	const cold_members_t members = store_sync_task_cold_members(task->store_sync);
 	GHashTableIter iter;
 	gpointer pool;
 
@@ -224,7 +224,7 @@
 		g_message("event=searcher-hangs searcher=%s after_us=%" G_GUINT64_FORMAT
 			  " outcome=avoided",
 			  observation->searcher, observation->after_us);
-	store_sync_task_publish(task->supply, observation);
+	store_sync_task_publish(task->store_sync, observation);
 }
 
 static void on_observation_received(void *ctx, const observation_t *observation)
@@ -310,7 +310,7 @@
 		answer->reply ? answer->reply->status : forward_outcome_status(answer->outcome);
 
 	front_log_answer(relay->request.id, forward, answer, status,
-			 store_sync_task_age_us(task->supply));
+			 store_sync_task_age_us(task->store_sync));
 	if (relay->job)
 		answer_taker(task, relay->job, answer);
 	else
@@ -452,7 +452,7 @@
 						 .retry_after_us = answer->retry_after_us};
 
 	front_log_gathered(&relay->request, relay->handover, &forward_answer,
-			   store_sync_task_age_us(task->supply));
+			   store_sync_task_age_us(task->store_sync));
 	relay_answer_caller(relay, &forward_answer);
 	relay_free(relay);
 }
@@ -463,7 +463,7 @@
 	const routing_t *routing = forwarder_routing(task->forwarder);
 
 	if (routing && routing->version < version)
-		store_sync_task_read_configuration(task->supply);
+		store_sync_task_read_configuration(task->store_sync);
 }
 
 /* ---- gathers handed over by other VMs ---- */
@@ -485,7 +485,7 @@
 		return false;
 	}
 	if (routing->version < job->version) {
-		store_sync_task_read_configuration(task->supply);
+		store_sync_task_read_configuration(task->store_sync);
 		*reason = HOP_OLDER_CONFIG;
 		return false;
 	}
@@ -606,7 +606,7 @@
 	const front_metrics_sources_t sources = {.forwarder = task->forwarder,
 						 .registry = task->registry,
 						 .links = link_task_counters(task->links),
-						 .supply = task->supply,
+						 .store_sync = task->store_sync,
 						 .store = platform_task_counters(task->platform),
 						 .handovers = gather_task_handovers(task->gathers),
 						 .gathers_for_others = hop_server_open(task->hops),
@@ -687,14 +687,14 @@
 						 .connection_refused = on_connection_refused,
 						 .connected = on_connected,
 						 .has_capacity = on_has_capacity};
-	static const store_sync_task_ops_t supply_ops = {.list_begin = on_list_begin,
-							 .object = on_object,
-							 .list_end = on_list_end,
-							 .lost = on_store_lost,
-							 .recovered = on_store_back,
-							 .restored = on_store_restored,
-							 .observation = on_observation_received,
-							 .members = on_members};
+	static const store_sync_task_ops_t store_sync_ops = {.list_begin = on_list_begin,
+							     .object = on_object,
+							     .list_end = on_list_end,
+							     .lost = on_store_lost,
+							     .recovered = on_store_back,
+							     .restored = on_store_restored,
+							     .observation = on_observation_received,
+							     .members = on_members};
 	static const gather_ops_t gather_ops = {.answer = on_gathered,
 						.gather_here = on_gather_here,
 						.newer_version = on_newer_version};
@@ -718,8 +718,8 @@
 	task->fleet_changed = true;
 	if (!listen_all(task, settings))
 		return NULL;
-	task->supply = store_sync_task_new(loop, settings, platform, &supply_ops, task);
-	return task->supply ? task : NULL;
+	task->store_sync = store_sync_task_new(loop, settings, platform, &store_sync_ops, task);
+	return task->store_sync ? task : NULL;
 }
 
 void front_task_configure(front_task_t *task, const settings_t *settings)
@@ -732,7 +732,7 @@
 void front_task_refresh(front_task_t *task)
 {
 	hop_server_resumed(task->hops);
-	store_sync_task_refresh(task->supply);
+	store_sync_task_refresh(task->store_sync);
 	run_forwarder(task);
 }
 
