--- a/src/dogwoodsaddled.c
+++ b/src/dogwoodsaddled.c
@@ -282,7 +282,7 @@
 	self.timeline->sink = log_event;
 	timeline_add(self.timeline, "event=start version=%s data_centre=%s", DS_VERSION,
 		     self.settings->data_centre);
-	if (!(self.settings->forwards ? start_front(&self) : start_tasks(&self)))
+	if (!(self.settings->forwarding_mode ? start_front(&self) : start_tasks(&self)))
 		return 1;
 	self.file_timer = (loop_timer_t){.fire = check_settings_file, .ctx = &self};
 	check_settings_file(&self);
--- a/src/settings.c
+++ b/src/settings.c
@@ -426,7 +426,8 @@
 
 static bool is_used(const setting_t *setting, const settings_t *settings)
 {
-	return setting->use == USE_ALWAYS || (setting->use == USE_FRONT) == settings->forwards;
+	return setting->use == USE_ALWAYS ||
+	       (setting->use == USE_FRONT) == settings->forwarding_mode;
 }
 
 static void read_setting(reader_t *reader, const setting_t *setting, settings_t *settings)
@@ -467,7 +468,7 @@
  * the metrics use the first one, and gathers the port after it. */
 static void set_gather_default(settings_t *settings)
 {
-	if (settings->front_gather.port || !settings->forwards)
+	if (settings->front_gather.port || !settings->forwarding_mode)
 		return;
 	settings->front_gather = settings->front_metrics;
 	settings->front_gather.port++;
@@ -491,7 +492,7 @@
 	reader.file = file;
 	reader.lines = lines;
 	settings = g_new0(settings_t, 1);
-	settings->forwards = g_key_file_has_group(file, FRONT_GROUP);
+	settings->forwarding_mode = g_key_file_has_group(file, FRONT_GROUP);
 	read_region_settings(&reader, settings);
 	check_unknown(&reader);
 	for (size_t i = 0; i < G_N_ELEMENTS(known); i++)
--- a/src/settings.h
+++ b/src/settings.h
@@ -34,7 +34,7 @@
 	uint32_t drain_ms;	  /**< a draining daemon serves requests at least this long */
 	uint32_t quiet_ms;	  /**< and until no request has arrived for this long */
 	uint32_t grace_s;	  /**< and at most this long; the process is killed then */
-	bool forwards;		  /**< forwarding mode: forwards by routes, instead of serving
+	bool forwarding_mode;	  /**< forwards by routes, instead of serving
 				   * the daemon's own query interface */
 	endpoint_setting_t front_callers, front_ready, front_metrics, front_feed, front_store;
 	endpoint_setting_t front_gather; /**< where other VMs hand over gathers; default: the
