--- a/src/tasks/upstream_task.c
+++ b/src/tasks/upstream_task.c
@@ -13,21 +13,21 @@
 
 typedef struct endpoint_t {
 	char *key;
-	struct flight_t *slots[SLOTS_MAX];
+	struct searcher_call_t *slots[SLOTS_MAX];
 	GQueue pending; /* sub_request_t waiting for a slot; a slot that is closing is still busy */
 	bool probing;
 	bool probe_reuses_connection; /* the current probe uses the previous probe's connection */
 } endpoint_t;
 
 /** A sub-request in flight on a connection. */
-typedef struct flight_t {
+typedef struct searcher_call_t {
 	upstream_task_t *task;
 	endpoint_t *endpoint;
 	uint32_t slot;
 	sub_request_t *request;
 	http_call_t *call;
 	bool cancelled;
-} flight_t;
+} searcher_call_t;
 
 typedef struct probe_t {
 	upstream_task_t *task;
@@ -45,8 +45,8 @@
 	void *ctx;
 	http_pool_t *pool;
 	http_pool_t *probe_pool;
-	GHashTable *endpoints; /* key -> endpoint_t */
-	GHashTable *flights;   /* attempt id -> flight_t */
+	GHashTable *endpoints;	    /* key -> endpoint_t */
+	GHashTable *searcher_calls; /* attempt id -> searcher_call_t */
 };
 
 static void sub_request_free(sub_request_t *request)
@@ -68,7 +68,7 @@
 	task->pool = http_pool_new(loop, SLOTS_MAX);
 	task->probe_pool = http_pool_new(loop, 1);
 	task->endpoints = g_hash_table_new(g_str_hash, g_str_equal);
-	task->flights = g_hash_table_new(g_int64_hash, g_int64_equal);
+	task->searcher_calls = g_hash_table_new(g_int64_hash, g_int64_equal);
 	return task;
 }
 
@@ -106,24 +106,25 @@
 
 static void flight_finished(void *ctx, http_call_t *call)
 {
-	flight_t *flight = ctx;
-	upstream_task_t *task = flight->task;
-	endpoint_t *endpoint = flight->endpoint;
-
-	endpoint->slots[flight->slot] = NULL;
-	if (!flight->cancelled) {
-		g_hash_table_remove(task->flights, &flight->request->attempt_id);
-		task->ops->ended(task->ctx, flight->request->attempt_id, reply_of_call(call));
+	searcher_call_t *searcher_call = ctx;
+	upstream_task_t *task = searcher_call->task;
+	endpoint_t *endpoint = searcher_call->endpoint;
+
+	endpoint->slots[searcher_call->slot] = NULL;
+	if (!searcher_call->cancelled) {
+		g_hash_table_remove(task->searcher_calls, &searcher_call->request->attempt_id);
+		task->ops->ended(task->ctx, searcher_call->request->attempt_id,
+				 reply_of_call(call));
 	}
-	sub_request_free(flight->request);
-	g_free(flight);
+	sub_request_free(searcher_call->request);
+	g_free(searcher_call);
 	start_pending(task, endpoint);
 }
 
 static void start_flight(upstream_task_t *task, endpoint_t *endpoint, uint32_t slot,
 			 sub_request_t *request)
 {
-	flight_t *flight = g_new0(flight_t, 1);
+	searcher_call_t *searcher_call = g_new0(searcher_call_t, 1);
 	http_request_t http = {.method = request->method,
 			       .address = request->address,
 			       .port = request->port,
@@ -133,12 +134,13 @@
 			       .body_bytes = request->body ? strlen(request->body) : 0,
 			       .fresh_connection = request->fresh_connection,
 			       .finished = flight_finished,
-			       .ctx = flight};
+			       .ctx = searcher_call};
 
-	*flight = (flight_t){.task = task, .endpoint = endpoint, .slot = slot, .request = request};
-	endpoint->slots[slot] = flight;
-	g_hash_table_insert(task->flights, &request->attempt_id, flight);
-	flight->call = http_pool_start(task->pool, slot, &http);
+	*searcher_call = (searcher_call_t){
+		.task = task, .endpoint = endpoint, .slot = slot, .request = request};
+	endpoint->slots[slot] = searcher_call;
+	g_hash_table_insert(task->searcher_calls, &request->attempt_id, searcher_call);
+	searcher_call->call = http_pool_start(task->pool, slot, &http);
 }
 
 /*
@@ -223,12 +225,12 @@
 {
 	upstream_task_t *task = self;
 	uint64_t *attempt_id = message;
-	flight_t *flight = g_hash_table_lookup(task->flights, attempt_id);
+	searcher_call_t *searcher_call = g_hash_table_lookup(task->searcher_calls, attempt_id);
 
-	if (flight) {
-		g_hash_table_remove(task->flights, attempt_id);
-		flight->cancelled = true;
-		http_call_cancel(flight->call);
+	if (searcher_call) {
+		g_hash_table_remove(task->searcher_calls, attempt_id);
+		searcher_call->cancelled = true;
+		http_call_cancel(searcher_call->call);
 	} else {
 		drop_pending(task, *attempt_id);
 	}
