--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -59,10 +59,10 @@
 	claims_t *claims;
 	uint32_t index;
 	bucket_state_t state;
-	bool is_current;       /* version and entries are as last read or written */
-	bool just_read;	       /* read since the last write */
-	bool has_write_permit; /* the rate limit is charged for the next write already */
-	uint32_t contended;    /* number of next writes that need a read first, after a conflict */
+	bool is_current;	 /* version and entries are as last read or written */
+	bool just_read;		 /* read since the last write */
+	bool next_write_charged; /* the rate limit is charged for the next write already */
+	uint32_t contended; /* number of next writes that need a read first, after a conflict */
 	uint64_t version;
 	GHashTable *entries; /* key -> entry_t */
 	GQueue pending;	     /* op_t */
@@ -319,7 +319,7 @@
 	json_t *value = entries_json(bucket);
 
 	bucket->state = BUCKET_WRITING;
-	bucket->just_read = bucket->has_write_permit = false;
+	bucket->just_read = bucket->next_write_charged = false;
 	bucket->claims->writes++;
 	bucket->claims->ops->write(bucket->claims->ctx, bucket->index, bucket->version, value);
 	json_decref(value);
@@ -333,7 +333,7 @@
 	return true;
 }
 
-static bool take_write_permit(claims_t *claims, uint64_t now_us)
+static bool charge_write(claims_t *claims, uint64_t now_us)
 {
 	uint64_t oldest = now_us > WRITE_BURST * CLAIM_WRITE_INTERVAL_US
 				  ? now_us - WRITE_BURST * CLAIM_WRITE_INTERVAL_US
@@ -356,11 +356,11 @@
 		bucket_set_timer(bucket, bucket->outcomes_due_us);
 		return;
 	}
-	if (!bucket->has_write_permit && !take_write_permit(claims, now_us)) {
+	if (!bucket->next_write_charged && !charge_write(claims, now_us)) {
 		bucket_set_timer(bucket, claims->next_write_us);
 		return;
 	}
-	bucket->has_write_permit = true;
+	bucket->next_write_charged = true;
 	/*
 	 * If other VMs write the bucket too, the state known here is outdated, and a write based on
 	 * it fails and uses up one of the platform's few writes. A read just before the write only
@@ -377,12 +377,12 @@
 		bucket_read(bucket);
 }
 
-static void bucket_back_off(bucket_t *bucket, uint64_t most_us, uint64_t now_us)
+static void bucket_back_off(bucket_t *bucket, uint64_t max_us, uint64_t now_us)
 {
 	bucket->state = BUCKET_BACKING_OFF;
 	bucket_set_timer(bucket, now_us + (uint64_t)g_rand_double_range(bucket->claims->rand,
-									(double)most_us / 2,
-									(double)most_us));
+									(double)max_us / 2,
+									(double)max_us));
 }
 
 static void requeue_batch(bucket_t *bucket)
--- a/src/core/cold_share.c
+++ b/src/core/cold_share.c
@@ -54,10 +54,10 @@
 
 	for (guint i = 0; i < members->vms->len && before < max; i++) {
 		const vm_t *vm = g_ptr_array_index(members->vms, i);
-		int other = limit->gathered ? speed_class_of(vm) : speed_class;
+		int vm_class = limit->gathered ? speed_class_of(vm) : speed_class;
 
-		if (other != speed_class)
-			before += other > speed_class;
+		if (vm_class != speed_class)
+			before += vm_class > speed_class;
 		else if (vm != own)
 			before += rank_of(vm, salt) < rank;
 	}
--- a/src/core/feed_timing.h
+++ b/src/core/feed_timing.h
@@ -1,7 +1,7 @@
 /**
  * @file feed_timing.h
  * Computes the time-outs of calls to the store, the waits of its watches and the age limits of
- * feeds from the configured settle and apply times.
+ * feeds from the configured time bounds.
  *
  * A change must be in force everywhere within a given time (apply time) after the store has
  * accepted it, on each VM whose connections have worked for a while (settle time). A call that gets
--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -65,7 +65,7 @@
 	for (uint32_t i = 0; i < forward->part_count; i++) {
 		const part_t *part = &forward->parts[i];
 
-		if (part->unknown || (part->in_flight && part->in_flight->len) ||
+		if (part->outcome_unknown || (part->in_flight && part->in_flight->len) ||
 		    part->state == PART_ANSWERED ||
 		    (part->reply && part->reply->outcome == SUB_FAILED))
 			return true;
@@ -73,9 +73,10 @@
 	return false;
 }
 
-static uint64_t caller_retry_us(const forward_t *forward, missing_resource_t lack, uint64_t now_us)
+static uint64_t caller_retry_us(const forward_t *forward, missing_resource_t missing,
+				uint64_t now_us)
 {
-	return retry_after_us(lack, forward_time_left_us(forward, now_us),
+	return retry_after_us(missing, forward_time_left_us(forward, now_us),
 			      registry_is_store_unreachable(forward->forwarder->registry));
 }
 
@@ -186,7 +187,7 @@
 		return false;
 	if (part->reply && part->reply->outcome == SUB_FAILED)
 		single_answer(forward, now_us);
-	else if (part->unknown)
+	else if (part->outcome_unknown)
 		forward_refuse(forward, FORWARD_FAILED, now_us);
 	else
 		forward_refuse(forward, unsent_outcome(part), now_us);
--- a/src/core/forward.h
+++ b/src/core/forward.h
@@ -102,9 +102,9 @@
 	sub_reply_t *reply;   /**< the answer, or the last failure */
 	bool shed; /**< left out: its shard is overloaded, and the request has enough coverage
 		      without it */
-	bool queue_too_long; /**< refused because its wait for a free connection would have passed
-				the deadline */
-	bool unknown;	     /**< some sub-request may have run, but its outcome is not known */
+	bool queue_too_long;  /**< refused because its wait for a free connection would have passed
+				 the deadline */
+	bool outcome_unknown; /**< some sub-request may have run, but its outcome is not known */
 } part_t;
 
 /** The outcome of a request, which decides its answer. */
--- a/src/core/forward_suspect.c
+++ b/src/core/forward_suspect.c
@@ -63,9 +63,9 @@
 
 static bool has_time_for_trial(const forward_t *forward, uint64_t now_us)
 {
-	double least_us = MIN(MIN_TRIAL_US, forward->state->patience_us * MIN_TRIAL_SHARE);
+	double min_us = MIN(MIN_TRIAL_US, forward->state->patience_us * MIN_TRIAL_SHARE);
 
-	return (double)forward_time_left_us(forward, now_us) >= least_us;
+	return (double)forward_time_left_us(forward, now_us) >= min_us;
 }
 
 static void request_send_permission(forward_t *forward, uint64_t now_us)
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -440,12 +440,14 @@
 {
 	forward_t forward = {.forwarder = forwarder, .request = *request, .owner = owner};
 	forward_answer_t answer = {.outcome = outcome};
-	bool away = registry_is_store_unreachable(forwarder->registry);
+	bool store_unreachable = registry_is_store_unreachable(forwarder->registry);
 
 	if (outcome == FORWARD_NOT_READY)
-		answer.retry_after_us = retry_after_us(MISSING_STATE, request->patience_us, away);
+		answer.retry_after_us =
+			retry_after_us(MISSING_STATE, request->patience_us, store_unreachable);
 	if (outcome == FORWARD_SHUTTING_DOWN)
-		answer.retry_after_us = retry_after_us(MISSING_VM, request->patience_us, away);
+		answer.retry_after_us =
+			retry_after_us(MISSING_VM, request->patience_us, store_unreachable);
 	forwarder->counters.outcomes[outcome]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
@@ -458,16 +460,16 @@
  */
 static bool is_coverage_unreachable(const forward_t *forward, uint64_t now_us)
 {
-	uint32_t hopeless = forward->lost;
+	uint32_t lost_or_late = forward->lost;
 
 	for (uint32_t i = 0; i < forward->part_count; i++) {
 		const part_t *part = &forward->parts[i];
 		const candidates_t candidates = part_candidates(part);
 
 		if (part->state == PART_WAITING && !placement_has_capacity(&candidates, now_us))
-			hopeless += part_would_miss_deadline(part, now_us);
+			lost_or_late += part_would_miss_deadline(part, now_us);
 	}
-	return !forward_has_enough(forward, forward->part_count - hopeless);
+	return !forward_has_enough(forward, forward->part_count - lost_or_late);
 }
 
 static double wait_us(const part_t *part, uint64_t now_us)
--- a/src/core/gossip.c
+++ b/src/core/gossip.c
@@ -27,7 +27,7 @@
 	member_t *self;
 	GPtrArray *members; /* member_t, without self */
 	GPtrArray *seeds;   /* member_t without names: contacted until they are known members */
-	GPtrArray *notes;   /* leaving_note_t */
+	GPtrArray *leaving_notes; /* leaving_note_t */
 	uint64_t config_number;
 	json_t *config_value;
 	uint32_t rotation; /* rotates the members that do not all fit into one message */
@@ -131,7 +131,7 @@
 	gossip->self = member_copy(&own);
 	gossip->members = g_ptr_array_new_with_free_func(member_free);
 	gossip->seeds = g_ptr_array_new_with_free_func(member_free);
-	gossip->notes = g_ptr_array_new_with_free_func(leaving_note_free);
+	gossip->leaving_notes = g_ptr_array_new_with_free_func(leaving_note_free);
 	add_seeds(gossip, self->seeds);
 	return gossip;
 }
@@ -141,7 +141,7 @@
 	member_free(gossip->self);
 	g_ptr_array_unref(gossip->members);
 	g_ptr_array_unref(gossip->seeds);
-	g_ptr_array_unref(gossip->notes);
+	g_ptr_array_unref(gossip->leaving_notes);
 	json_decref(gossip->config_value);
 	g_rand_free(gossip->rand);
 	g_free(gossip);
@@ -166,13 +166,13 @@
 	gossip->rotation += MEMBERS_PER_MESSAGE;
 }
 
-static void add_notes(const gossip_t *gossip, gossip_message_t *message)
+static void add_leaving_notes(const gossip_t *gossip, gossip_message_t *message)
 {
-	uint32_t count = gossip->notes->len;
+	uint32_t count = gossip->leaving_notes->len;
 
 	for (uint32_t i = count > NOTES_PER_MESSAGE ? count - NOTES_PER_MESSAGE : 0; i < count;
 	     i++) {
-		const leaving_note_t *from = g_ptr_array_index(gossip->notes, i);
+		const leaving_note_t *from = g_ptr_array_index(gossip->leaving_notes, i);
 		leaving_note_t *note = g_new0(leaving_note_t, 1);
 
 		*note = (leaving_note_t){.service = g_strdup(from->service),
@@ -192,7 +192,7 @@
 	if (with_config)
 		message->config_value = json_incref(gossip->config_value);
 	add_members(gossip, message);
-	add_notes(gossip, message);
+	add_leaving_notes(gossip, message);
 	return message;
 }
 
@@ -321,8 +321,8 @@
 
 static leaving_note_t *find_note(const gossip_t *gossip, const char *service, const char *upstream)
 {
-	for (guint i = 0; i < gossip->notes->len; i++) {
-		leaving_note_t *note = g_ptr_array_index(gossip->notes, i);
+	for (guint i = 0; i < gossip->leaving_notes->len; i++) {
+		leaving_note_t *note = g_ptr_array_index(gossip->leaving_notes, i);
 
 		if (g_str_equal(note->service, service) && g_str_equal(note->upstream, upstream))
 			return note;
@@ -330,15 +330,15 @@
 	return NULL;
 }
 
-static void expire_notes(gossip_t *gossip)
+static void expire_leaving_notes(gossip_t *gossip)
 {
 	uint64_t now_ms = gossip->timeline->wall_ms();
 
-	for (guint i = gossip->notes->len; i-- > 0;) {
-		const leaving_note_t *note = g_ptr_array_index(gossip->notes, i);
+	for (guint i = gossip->leaving_notes->len; i-- > 0;) {
+		const leaving_note_t *note = g_ptr_array_index(gossip->leaving_notes, i);
 
 		if (note->at_ms + NOTE_RETENTION_MS < now_ms)
-			g_ptr_array_remove_index(gossip->notes, i);
+			g_ptr_array_remove_index(gossip->leaving_notes, i);
 	}
 }
 
@@ -354,7 +354,7 @@
 		note = g_new0(leaving_note_t, 1);
 		note->service = g_strdup(service);
 		note->upstream = g_strdup(upstream);
-		g_ptr_array_add(gossip->notes, note);
+		g_ptr_array_add(gossip->leaving_notes, note);
 	}
 	note->at_ms = at_ms;
 	return true;
@@ -377,7 +377,7 @@
 void gossip_tick(gossip_t *gossip, uint64_t now_us)
 {
 	expire_members(gossip, now_us);
-	expire_notes(gossip);
+	expire_leaving_notes(gossip);
 	send_to_random(gossip, FANOUT, false);
 }
 
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -394,7 +394,7 @@
 		part->runs--;
 		part->refusals++;
 	}
-	part->unknown = part->unknown || outcome == SUB_UNKNOWN;
+	part->outcome_unknown = part->outcome_unknown || outcome == SUB_UNKNOWN;
 	part->last_outcome = outcome;
 	if (forward->probe == part)
 		forward_probe_ended(
@@ -452,7 +452,8 @@
  */
 static void allow_retry_at(part_t *part, searcher_t *searcher, uint64_t now_us)
 {
-	if (failure_rate_now(&searcher->yield, now_us) > REFUSAL_RATE_MIN && !is_possible(part))
+	if (failure_rate_now(&searcher->failure_rate, now_us) > REFUSAL_RATE_MIN &&
+	    !is_possible(part))
 		g_ptr_array_remove(part->tried, searcher);
 }
 
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -227,7 +227,7 @@
 		cost_us += STUCK_PENALTY_US;
 	else if (now_us < searcher->stuck_until_us)
 		cost_us += STUCK_REPORTED_PENALTY_US;
-	cost_us += failure_rate_now(&searcher->yield, now_us) * FAILURE_PENALTY_US;
+	cost_us += failure_rate_now(&searcher->failure_rate, now_us) * FAILURE_PENALTY_US;
 	if (now_us < searcher->avoid_until_us)
 		cost_us += AVOIDED_PENALTY_US;
 	return cost_us;
--- a/src/core/poison_share.c
+++ b/src/core/poison_share.c
@@ -162,7 +162,7 @@
 void poison_store_restored(poison_t *poison, bool after_watchers, uint64_t now_us)
 {
 	uint64_t from_us = now_us + (after_watchers ? REPUBLISH_WATCHER_US : 0);
-	gint32 most_us = after_watchers ? REPUBLISH_FED_US : REPUBLISH_WATCHER_US;
+	gint32 max_us = after_watchers ? REPUBLISH_FED_US : REPUBLISH_WATCHER_US;
 	GHashTableIter iter;
 	gpointer value;
 
@@ -173,7 +173,7 @@
 		if (!record->stored)
 			continue;
 		record->stored = 0;
-		record->publish_us = from_us + (uint64_t)g_rand_int_range(poison->rand, 0, most_us);
+		record->publish_us = from_us + (uint64_t)g_rand_int_range(poison->rand, 0, max_us);
 		poison_record_arm(record);
 	}
 }
--- a/src/core/searcher.c
+++ b/src/core/searcher.c
@@ -85,7 +85,7 @@
 	searcher->answered_us = now_us;
 	searcher->last_served_sent_us = MAX(searcher->last_served_sent_us, now_us - latency_us);
 	searcher->stuck_until_us = 0;
-	failure_rate_note(&searcher->yield, false, now_us);
+	failure_rate_note(&searcher->failure_rate, false, now_us);
 	searcher_record_latency(searcher, latency_us, now_us);
 }
 
@@ -110,7 +110,7 @@
 {
 	uint64_t avoid_us = AVOID_FIRST_US << MIN(searcher->failures, 8);
 
-	failure_rate_note(&searcher->yield, true, now_us);
+	failure_rate_note(&searcher->failure_rate, true, now_us);
 	searcher->failures++;
 	searcher->avoid_until_us = now_us + MIN(avoid_us, AVOID_MAX_US);
 }
@@ -128,7 +128,7 @@
 
 void searcher_record_refusal(searcher_t *searcher, uint64_t now_us)
 {
-	failure_rate_note(&searcher->yield, true, now_us);
+	failure_rate_note(&searcher->failure_rate, true, now_us);
 }
 
 const char *searcher_state_name(searcher_state_t state)
--- a/src/core/searcher.h
+++ b/src/core/searcher.h
@@ -69,7 +69,7 @@
 	uint64_t sampled_us;	      /**< when latency_us was last updated; 0: never */
 	GQueue outstanding;	      /**< attempts sent and not ended, oldest first */
 	uint32_t failures;	      /**< consecutive failures without an answer in between */
-	failure_rate_t yield;	      /**< rate at which it refuses, fails or loses requests */
+	failure_rate_t failure_rate;  /**< rate at which it refuses, fails or loses requests */
 	reported_load_t load;	      /**< load that it last reported */
 	uint64_t avoid_until_us;      /**< backoff after failures: chosen only if there is no other
 				       * candidate */
--- a/src/core/top_records.c
+++ b/src/core/top_records.c
@@ -94,9 +94,9 @@
 
 	g_string_set_size(out, start + bytes);
 	while (top->count) {
-		record_t least = top->heap[0], last = top->heap[--top->count];
-		record_t written = {.high = GUINT64_TO_BE(least.high),
-				    .low = GUINT64_TO_BE(least.low)};
+		record_t smallest = top->heap[0], last = top->heap[--top->count];
+		record_t written = {.high = GUINT64_TO_BE(smallest.high),
+				    .low = GUINT64_TO_BE(smallest.low)};
 
 		memcpy(out->str + start + (size_t)top->count * RECORD_BYTES, &written,
 		       RECORD_BYTES);
