--- a/src/tasks/member_task.c
+++ b/src/tasks/member_task.c
@@ -11,12 +11,12 @@
 
 #define CALL_TIMEOUT_US 1500000
 /*
- * All VMs of a new deployment register within the first seconds; later, new VMs are rare. A list
+ * All VMs of a new fleet register within the first seconds; later, new VMs are rare. A list
  * read that may be stale costs a tenth of a call.
  */
 #define INITIAL_LIST_PERIOD_US 1500000
 #define INITIAL_LISTS 4
-/* VMs of a new deployment start within 0.3 s of each other, and a call takes up to 0.1 s. */
+/* VMs of a new fleet start within 0.3 s of each other, and a call takes up to 0.1 s. */
 #define OTHERS_REGISTER_DELAY_US 600000
 #define LIST_PERIOD_US 12000000
 /*
--- a/src/tasks/upstream_task.c
+++ b/src/tasks/upstream_task.c
@@ -297,10 +297,10 @@
 	/*
 	 * The previous probe is still outstanding. If it opened its own connection, the searcher is
 	 * unresponsive. If it reused a keep-alive connection, only that connection may be dead.
-	 * If that counted as a failure too, one dead connection made three failures, and when all
-	 * connections died at once, whole groups of healthy searchers were taken to be down:
-	 * partial answers for a second. The probe's own time-out counts once, and the next probe
-	 * opens a new connection.
+	 * If that counted as a failure too, one dead connection would make three failures. If all
+	 * connections died at once, whole groups of healthy searchers would count as down, and
+	 * answers would be partial for a second. The probe's own time-out counts once, and the next
+	 * probe opens a new connection.
 	 */
 	if (probe->endpoint->probing) {
 		task->ops->probed(task->ctx, probe->upstream, NULL,
