--- a/src/core/failure_rate.h
+++ b/src/core/failure_rate.h
@@ -5,9 +5,9 @@
  * A searcher may look healthy and still refuse or fail a share of its sub-requests, or lose their
  * answers. A single failure says little, so this is an exponential moving average over the latest
  * sub-requests. It decays over time, so that a searcher that gets no more sub-requests is tried
- * again. Where two searchers of three fail 40 % of their requests, 91 % of the callers' requests
- * were served in time when a failure only made its searcher avoided for a moment, and 99 % with the
- * failure rate (make loads, errors).
+ * again. Where two searchers of three fail 40 % of their requests, 99 % of the callers' requests
+ * are served in time with the failure rate, and 91 % if a failure only makes its searcher avoided
+ * for a moment (make loads, errors).
  */
 #ifndef DS_FAILURE_RATE_H
 #define DS_FAILURE_RATE_H
--- a/src/core/feed_choice.c
+++ b/src/core/feed_choice.c
@@ -21,8 +21,8 @@
 /* While the feeder writes to all subscribers its own requests wait. If it announces the object
  * instead, each subscriber has to read it from the store, with one call each. */
 #define SEND_MAX_US 50000
-/* The part of the feeder's link, one in this number, for objects that subscribers request; these
- * are sent one after the other. */
+/* One part in this many of the feeder's link is for objects that subscribers request; these are
+ * sent one after the other. */
 #define REQUESTED_LINK_DIVISOR 4
 /* A link of unknown bandwidth counts as slow as those of small VMs. */
 #define LINK_DEFAULT_MBPS 14
--- a/src/core/feed_message.h
+++ b/src/core/feed_message.h
@@ -50,7 +50,7 @@
 
 /**
  * Decode the frame at the start of @p data and pass its message to @p handle.
- * @param used set to the bytes of the frame, if there is a whole one
+ * @param used set to the bytes of the frame, if it is complete
  */
 framing_result_t feed_message_read(const uint8_t *data, size_t bytes, size_t *used,
 				   feed_message_f handle, void *ctx);
--- a/src/core/forward.c
+++ b/src/core/forward.c
@@ -222,8 +222,8 @@
 
 /* ---- timers ---- */
 
-/* When to check held parts again: a round trip shows whether a searcher that closed connections
- * still listens, and then they may be sent. */
+/* When to check again whether held parts may be sent: after a searcher has closed connections, a
+ * round trip shows whether it still listens. */
 #define HELD_RECHECK_US 5000
 
 void forward_set_timer(forward_t *forward, uint64_t now_us)
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -7,8 +7,8 @@
 #include "core/retry_after.h"
 
 /* A request's deadline and target are this much before those of its caller. The caller's clock
- * started when it sent the request; the way here, the way back (some ms each) and a pass of the
- * event loop take time. */
+ * started when it sent the request; the network delay in each direction (some ms) and an iteration
+ * of the event loop take up part of the caller's time. */
 #define NETWORK_MARGIN_US 9000
 /* For callers that give no timeout, on routes without one. */
 #define DEFAULT_CALLER_TIMEOUT_US 5000000
@@ -49,8 +49,8 @@
 
 /*
  * Sets the limits together with the routing, not later with this VM's shares. A VM that was
- * suspended may read, in one pass of the event loop, a version that names new, cold searchers and
- * all requests that have arrived meanwhile. Without the limit all of these would go to those
+ * suspended may read, in one iteration of the event loop, a version that names new, cold searchers
+ * and all requests that have arrived meanwhile. Without the limit all of these would go to those
  * searchers.
  */
 static void set_cold_limits(const forwarder_t *forwarder)
@@ -547,8 +547,8 @@
 	forwarder->open++;
 	set_times(forward);
 	create_parts(forward, now_us);
-	/* The request was read late, after a long pass of the event loop: a searcher would work on
-	 * it for nothing. */
+	/* The request was read late, after a long iteration of the event loop: a searcher would
+	 * work on it for nothing. */
 	if (forward_time_left_us(forward, now_us) == 0) {
 		forward_refuse(forward, FORWARD_TOO_LATE, now_us);
 		return NULL;
--- a/src/core/list_watch.c
+++ b/src/core/list_watch.c
@@ -12,9 +12,9 @@
 
 /*
  * Announced objects are still read. A VM that switches to a feed first gets the announcement of a
- * large configuration that has changed, and a moment later the end of the lists. When it dropped
- * its read then, it kept the old version, 7 s after the next one was accepted, until the one after
- * that.
+ * large configuration that has changed, and a moment later the end of the lists. If it dropped the
+ * pending read then, it would keep the old version until the configuration changes once more, and
+ * so still have it 7 s after the new version was accepted.
  */
 void list_watch_stop(list_watch_t *list_watch)
 {
--- a/src/core/msgpack_sizes.h
+++ b/src/core/msgpack_sizes.h
@@ -13,7 +13,7 @@
  * Whether no array, map or text declares more than the remaining bytes can hold.
  *
  * msgpack-c allocates memory for an array by its declared size: five bytes that declare four
- * thousand million items made it request 128 GB.
+ * thousand million items make it request 128 GB.
  */
 bool msgpack_sizes_fit(const uint8_t *data, size_t bytes);
 
--- a/src/core/part.c
+++ b/src/core/part.c
@@ -18,8 +18,8 @@
 /* Allows for a second answer that takes longer than expected: a hedge needs this many times its
  * expected latency before the target. */
 #define HEDGE_ANSWER_FACTOR 1.3
-/* In a gather with this many parts or more, hedges are held until a first part is answered: so many
- * searchers do not pause at the same time, but fewer may. */
+/* In a gather with this many parts or more, hedges are held until a first part is answered: the
+ * searchers of so many parts do not all pause at the same time, but those of fewer parts may. */
 #define HEDGE_HELD_MIN_PARTS 3
 /* When to check again after a hedge was refused by the budget or could not be sent. */
 #define HEDGE_RECHECK_US 20000
@@ -252,8 +252,8 @@
 /*
  * A searcher works on a part until the deadline that it is sent. In an overloaded shard, a part
  * past its target is of no use if the request has enough coverage without it, while the next part
- * is. A suspect keeps its full time: if it is cut short, the outcome shows nothing, as its searcher
- * may have been about to crash.
+ * still is of use. A suspect keeps its full time: if it is cut short, the outcome shows nothing, as
+ * its searcher may have been about to crash.
  */
 uint64_t subrequest_time_left_us(const subrequest_t *sub, uint64_t now_us)
 {
@@ -372,10 +372,10 @@
 
 /*
  * If the parts of a request that crashes searchers were retried at once, each part would crash
- * another searcher: a gather over ten shards of three searchers each crashed all thirty within 100
- * ms, and callers of all other requests got 502 until the searchers were back. So the next
- * sub-request waits until the one before has shown that a searcher survives the request. If a
- * sub-request that was sent alone is lost as well, no others follow.
+ * another searcher: a gather over ten shards of three searchers each would crash all thirty within
+ * 100 ms, and callers of all other requests would get 502 until the searchers have restarted. So
+ * the next sub-request waits until the one before has shown that a searcher survives the request.
+ * If a sub-request that was sent alone is lost as well, no others follow.
  */
 static void part_hold(part_t *part, bool gives_up)
 {
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -233,7 +233,7 @@
 	return cost_us;
 }
 
-/* Beside other outstanding requests, a termination of the searcher cannot be attributed to the
+/* If the searcher has other outstanding requests, its termination cannot be attributed to the
  * suspect request. */
 static double sharing_penalty_us(const searcher_t *searcher, bool alone)
 {
--- a/src/core/poison_losses.c
+++ b/src/core/poison_losses.c
@@ -16,10 +16,10 @@
  */
 #define STRIKE_MIN_GAP_US 1000000
 /*
- * A request that many callers send is nearly always in flight when a searcher terminates, and would
- * soon be so twice in a row. A request of which all parts were answered this recently did not crash
- * the searcher. If it becomes a poison request, with another version of the searchers, that is
- * detected later by this time.
+ * A request that many callers send is nearly always in flight when a searcher terminates, so it
+ * would soon be in flight at two terminations in a row. A request of which all parts were answered
+ * this recently did not crash the searcher. If it becomes a poison request, with another version of
+ * the searchers, that is detected later by this time.
  */
 #define SERVED_VALID_US 5000000
 
--- a/src/core/store_sync.h
+++ b/src/core/store_sync.h
@@ -4,10 +4,10 @@
  *
  * There are three sources: this VM watches the store itself; a feeder, which watches the store,
  * relays its changes (feed_choice.h chooses the feeders); or, when neither the store nor a feeder
- * answers, a backup feeder does: any other VM that watches the store. A VM that was asked as a
- * backup but is fed itself names its feeder. Using or trying one source must not prevent a switch
- * to another: the age of the data keeps the limits of feed_timing.h, however the store fails and
- * for whichever VMs.
+ * answers, a backup feeder does: any other VM that watches the store. A VM that is asked to be a
+ * backup feeder but is fed itself names its feeder. Using or trying one source must not prevent a
+ * switch to another: the age of the data keeps the limits of feed_timing.h, however the store fails
+ * and for whichever VMs.
  *
  * The caller passes in the time and a seed; calls to the store and links to other VMs are made by
  * callbacks. A callback must not call into this module before it returns.
--- a/src/core/store_sync_links.c
+++ b/src/core/store_sync_links.c
@@ -197,8 +197,8 @@
 	try_next_source(sync, near_age_max, now_us);
 }
 
-/* A VM fed by a backup did not reach the store at its last try, else it would not use a backup: the
- * store counts as unreachable again. */
+/* A VM uses a backup feeder only if it did not reach the store at its last try. So when the backup
+ * feed fails, the store counts as unreachable again. */
 static void on_feed_failed(store_sync_t *sync, const char *reason, uint64_t now_us)
 {
 	bool near_age_max = is_near_age_max(sync, now_us);
--- a/src/core/subrequest.c
+++ b/src/core/subrequest.c
@@ -54,8 +54,8 @@
 	g_free(reply);
 }
 
-/* After a long pass of the event loop, or a suspension of this VM, answers may be there unread when
- * the timer fires. */
+/* After a long iteration of the event loop, or a suspension of this VM, answers may have arrived
+ * but not been read when the timer fires. */
 static bool fired_late(const subrequest_t *sub, uint64_t now_us)
 {
 	return now_us > sub->hang_timer.at_us + LATE_TIMER_US;
