--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -77,7 +77,7 @@
 	'an answered attempt keeps its trial|src/core/forward_suspect.c|s/!forward->answered && !has_claimed_trial/!has_claimed_trial/'
 	'a trial is cut short because its shard is overloaded|src/core/part.c|s/forward->probe == &forward->parts\[sub->part\] \|\|/0 ||/'
 	'a request that cannot reach its coverage is tried|src/core/forward_suspect.c|s/return !forward->route->gathers \|\|\s*forward_has/return 1 || forward_has/'
-	'an attempt with little time left is a trial|src/core/forward_suspect.c|s/return \(double\)forward_time_left_us\(forward, now_us\) >= least_us;/return 1;/'
+	'an attempt with little time left is a trial|src/core/forward_suspect.c|s/return \(double\)forward_time_left_us\(forward, now_us\) >= min_us;/return 1;/'
 	'callers with little time are deferred forever|src/core/poison_trials.c|s/define ANY_CALLER_AFTER_US 3000000/define ANY_CALLER_AFTER_US 3000000000/'
 	'trials are not claimed|src/core/poison_trials.c|s/if \(poison->ops && poison->ops->claim\)/if (0)/'
 	'claims flood the store|src/core/poison_trials.c|s/define CLAIM_BURST 4/define CLAIM_BURST 400/'
