--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -17,7 +17,10 @@
 #define MIN_CLAIM_BACKOFF_US 5000
 #define MAX_CLAIM_BACKOFF_US 500000
 #define CONFLICT_BACKOFF_US 2000
+/* After a write conflict, the bucket is read before each of this many writes: other VMs write it
+ * too. */
 #define CONTENDED_WRITES 16
+/* After this many calls in a row without an answer the platform counts as unavailable. */
 #define CLAIM_OUTAGE_FAILURES 2
 #define OUTAGE_PROBE_US 300000
 /* How long a recorded "ran" outcome may wait to share another write. */
@@ -56,10 +59,10 @@
 	claims_t *claims;
 	uint32_t index;
 	bucket_state_t state;
-	bool is_current;       /* version and entries are as last read or written */
-	bool just_read;	       /* read since the last write */
-	bool has_write_permit; /* the rate limit is charged for the next write already */
-	uint32_t contended;    /* number of next writes that need a read first, after a conflict */
+	bool is_current;	 /* version and entries are as last read or written */
+	bool just_read;		 /* read since the last write */
+	bool next_write_charged; /* the rate limit is charged for the next write already */
+	uint32_t contended; /* number of next writes that need a read first, after a conflict */
 	uint64_t version;
 	GHashTable *entries; /* key -> entry_t */
 	GQueue pending;	     /* op_t */
@@ -316,7 +319,7 @@
 	json_t *value = entries_json(bucket);
 
 	bucket->state = BUCKET_WRITING;
-	bucket->just_read = bucket->has_write_permit = false;
+	bucket->just_read = bucket->next_write_charged = false;
 	bucket->claims->writes++;
 	bucket->claims->ops->write(bucket->claims->ctx, bucket->index, bucket->version, value);
 	json_decref(value);
@@ -330,7 +333,7 @@
 	return true;
 }
 
-static bool take_write_permit(claims_t *claims, uint64_t now_us)
+static bool charge_write(claims_t *claims, uint64_t now_us)
 {
 	uint64_t oldest = now_us > WRITE_BURST * CLAIM_WRITE_INTERVAL_US
 				  ? now_us - WRITE_BURST * CLAIM_WRITE_INTERVAL_US
@@ -353,11 +356,11 @@
 		bucket_set_timer(bucket, bucket->outcomes_due_us);
 		return;
 	}
-	if (!bucket->has_write_permit && !take_write_permit(claims, now_us)) {
+	if (!bucket->next_write_charged && !charge_write(claims, now_us)) {
 		bucket_set_timer(bucket, claims->next_write_us);
 		return;
 	}
-	bucket->has_write_permit = true;
+	bucket->next_write_charged = true;
 	/*
 	 * If other VMs write the bucket too, the state known here is outdated, and a write based on
 	 * it fails and uses up one of the platform's few writes. A read just before the write only
@@ -374,12 +377,12 @@
 		bucket_read(bucket);
 }
 
-static void bucket_back_off(bucket_t *bucket, uint64_t most_us, uint64_t now_us)
+static void bucket_back_off(bucket_t *bucket, uint64_t max_us, uint64_t now_us)
 {
 	bucket->state = BUCKET_BACKING_OFF;
 	bucket_set_timer(bucket, now_us + (uint64_t)g_rand_double_range(bucket->claims->rand,
-									(double)most_us / 2,
-									(double)most_us));
+									(double)max_us / 2,
+									(double)max_us));
 }
 
 static void requeue_batch(bucket_t *bucket)
@@ -582,7 +585,8 @@
 	op->issued_ms = issued_ms;
 	op->owner = owner;
 	bucket = bucket_of(claims, op->key);
-	/* Waiting would not settle the claim; the probe detects the end of the outage. */
+	/* During an outage the claim fails at once, since waiting would not settle it. A periodic
+	 * probe detects when the platform answers again. */
 	if (in_outage(claims)) {
 		claims->ops->ended(claims->ctx, owner, CLAIM_UNAVAILABLE);
 		op_free(op);
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -7,8 +7,8 @@
 #include "core/retry_after.h"
 
 /* A request's deadline and target are this much before those of its caller. The caller's clock
- * started when it sent the request; the way here, the way back (some ms each) and a pass of the
- * event loop take time. */
+ * started when it sent the request; the network delay in each direction (some ms) and an iteration
+ * of the event loop take up part of the caller's time. */
 #define NETWORK_MARGIN_US 9000
 /* For callers that give no timeout, on routes without one. */
 #define DEFAULT_CALLER_TIMEOUT_US 5000000
@@ -49,8 +49,8 @@
 
 /*
  * Sets the limits together with the routing, not later with this VM's shares. A VM that was
- * suspended may read, in one pass of the event loop, a version that names new, cold searchers and
- * all requests that have arrived meanwhile. Without the limit all of these would go to those
+ * suspended may read, in one iteration of the event loop, a version that names new, cold searchers
+ * and all requests that have arrived meanwhile. Without the limit all of these would go to those
  * searchers.
  */
 static void set_cold_limits(const forwarder_t *forwarder)
@@ -440,12 +440,14 @@
 {
 	forward_t forward = {.forwarder = forwarder, .request = *request, .owner = owner};
 	forward_answer_t answer = {.outcome = outcome};
-	bool away = registry_is_store_unreachable(forwarder->registry);
+	bool store_unreachable = registry_is_store_unreachable(forwarder->registry);
 
 	if (outcome == FORWARD_NOT_READY)
-		answer.retry_after_us = retry_after_us(MISSING_STATE, request->patience_us, away);
+		answer.retry_after_us =
+			retry_after_us(MISSING_STATE, request->patience_us, store_unreachable);
 	if (outcome == FORWARD_SHUTTING_DOWN)
-		answer.retry_after_us = retry_after_us(MISSING_VM, request->patience_us, away);
+		answer.retry_after_us =
+			retry_after_us(MISSING_VM, request->patience_us, store_unreachable);
 	forwarder->counters.outcomes[outcome]++;
 	forwarder->ops->answer(forwarder->ctx, &forward, &answer);
 }
@@ -458,16 +460,16 @@
  */
 static bool is_coverage_unreachable(const forward_t *forward, uint64_t now_us)
 {
-	uint32_t hopeless = forward->lost;
+	uint32_t lost_or_late = forward->lost;
 
 	for (uint32_t i = 0; i < forward->part_count; i++) {
 		const part_t *part = &forward->parts[i];
 		const candidates_t candidates = part_candidates(part);
 
 		if (part->state == PART_WAITING && !placement_has_capacity(&candidates, now_us))
-			hopeless += part_would_miss_deadline(part, now_us);
+			lost_or_late += part_would_miss_deadline(part, now_us);
 	}
-	return !forward_has_enough(forward, forward->part_count - hopeless);
+	return !forward_has_enough(forward, forward->part_count - lost_or_late);
 }
 
 static double wait_us(const part_t *part, uint64_t now_us)
@@ -545,8 +547,8 @@
 	forwarder->open++;
 	set_times(forward);
 	create_parts(forward, now_us);
-	/* The request was read late, after a long pass of the event loop: a searcher would work on
-	 * it for nothing. */
+	/* The request was read late, after a long iteration of the event loop: a searcher would
+	 * work on it for nothing. */
 	if (forward_time_left_us(forward, now_us) == 0) {
 		forward_refuse(forward, FORWARD_TOO_LATE, now_us);
 		return NULL;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -227,13 +227,13 @@
 		cost_us += STUCK_PENALTY_US;
 	else if (now_us < searcher->stuck_until_us)
 		cost_us += STUCK_REPORTED_PENALTY_US;
-	cost_us += failure_rate_now(&searcher->yield, now_us) * FAILURE_PENALTY_US;
+	cost_us += failure_rate_now(&searcher->failure_rate, now_us) * FAILURE_PENALTY_US;
 	if (now_us < searcher->avoid_until_us)
 		cost_us += AVOIDED_PENALTY_US;
 	return cost_us;
 }
 
-/* Beside other outstanding requests, a termination of the searcher cannot be attributed to the
+/* If the searcher has other outstanding requests, its termination cannot be attributed to the
  * suspect request. */
 static double sharing_penalty_us(const searcher_t *searcher, bool alone)
 {
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -9,8 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reply limits, above the largest reply of the deployments' searchers and store (1 MB and its
- * framing). */
+/* Reply limits, above the largest reply of searchers and store (1 MB and its framing). */
 #define REPLY_BODY_MAX_BYTES (8u << 20)
 #define REPLY_HEAD_MAX_BYTES (64u << 10)
 /* An idle connection isn't reused in this last part of the peer's idle time-out, because the
@@ -97,7 +96,7 @@
 	if (!conn->busy) {
 		close_and_report(conn, HTTP_CONN_PROTOCOL_ERROR);
 	} else {
-		consumed = http_message_feed(conn->reply, data, bytes);
+		consumed = http_message_parse(conn->reply, data, bytes);
 		switch (http_message_state(conn->reply)) {
 		case HTTP_MESSAGE_INCOMPLETE:
 			break;
