--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -122,27 +122,27 @@
 	g_hash_table_remove(fixture->forwards, forward->request.id);
 }
 
-static void on_sighted(void *ctx, const observation_t *sighting)
+static void on_observed(void *ctx, const observation_t *observation)
 {
 	fixture_t *fixture = ctx;
 
 	if (fixture->prints_observations)
 		print_line(fixture, "tell %s %s after_ms=%" G_GUINT64_FORMAT,
-			   observation_type_name(sighting->type), sighting->searcher,
-			   sighting->after_us / 1000);
+			   observation_type_name(observation->type), observation->searcher,
+			   observation->after_us / 1000);
 }
 
-static void on_poison_tell(void *ctx, const poison_update_t *news)
+static void on_poison_publish(void *ctx, const poison_update_t *update)
 {
 	g_autofree char *trials =
-		news->trials ? g_strdup_printf(" trials=%u ran=%u", news->trials, news->ran)
-			     : g_strdup("");
+		update->trials ? g_strdup_printf(" trials=%u ran=%u", update->trials, update->ran)
+			       : g_strdup("");
 
-	print_line(ctx, "store strikes=%u renewals=%u service=%s%s", news->strikes, news->renewals,
-		   news->service, trials);
+	print_line(ctx, "store strikes=%u renewals=%u service=%s%s", update->strikes,
+		   update->renewals, update->service, trials);
 }
 
-static void on_poison_forget(void *ctx, fingerprint_t fingerprint)
+static void on_poison_remove(void *ctx, fingerprint_t fingerprint)
 {
 	(void)fingerprint;
 	print_line(ctx, "store forgets");
@@ -172,9 +172,9 @@
 		print_line(ctx, "trial %u %s why=%s", trial->number, trial->outcome, trial->why);
 }
 
-static void on_poison_changed(void *ctx, const poison_update_t *news, const char *what)
+static void on_poison_changed(void *ctx, const poison_update_t *update, const char *what)
 {
-	print_line(ctx, "poison %s strikes=%u", what, news->strikes);
+	print_line(ctx, "poison %s strikes=%u", what, update->strikes);
 }
 
 static void on_changed(void *ctx, searcher_t *searcher)
@@ -192,8 +192,8 @@
 static void *fixture_new(GString *out)
 {
 	static const registry_ops_t registry_ops = {.changed = on_changed};
-	static const poison_ops_t poison_ops = {.publish = on_poison_tell,
-						.remove = on_poison_forget,
+	static const poison_ops_t poison_ops = {.publish = on_poison_publish,
+						.remove = on_poison_remove,
 						.changed = on_poison_changed,
 						.claim = on_poison_claim,
 						.drop_claims = on_poison_drop_claims,
@@ -201,7 +201,7 @@
 	static const forwarder_ops_t ops = {.send = on_send,
 					    .cancel = on_cancel,
 					    .answer = on_answer,
-					    .observed = on_sighted,
+					    .observed = on_observed,
 					    .poison = &poison_ops};
 	fixture_t *fixture = g_new0(fixture_t, 1);
 	const retry_bound_t bound = {.ratio = 0.2, .window_us = BOUND_WINDOW_US, .constant = 2};
@@ -462,13 +462,13 @@
 static void do_told(void *ctx, char **words)
 {
 	fixture_t *fixture = ctx;
-	observation_t sighting = {.searcher = words[2],
-				  .after_us = strtoull(words[3], NULL, 10) * 1000,
-				  .born_ms = words[4] ? strtoull(words[4], NULL, 10) : 0};
+	observation_t observation = {.searcher = words[2],
+				     .after_us = strtoull(words[3], NULL, 10) * 1000,
+				     .born_ms = words[4] ? strtoull(words[4], NULL, 10) : 0};
 
-	while (!g_str_equal(observation_type_name(sighting.type), words[1]))
-		sighting.type++;
-	forwarder_take_observation(fixture->forwarder, &sighting, fixture->now_us);
+	while (!g_str_equal(observation_type_name(observation.type), words[1]))
+		observation.type++;
+	forwarder_take_observation(fixture->forwarder, &observation, fixture->now_us);
 }
 
 static void do_tell(void *ctx, char **words)
@@ -603,7 +603,7 @@
 				   1000000000 + strtoull(words[2], NULL, 10) * 1000);
 }
 
-static poison_update_t news_of_words(char **words)
+static poison_update_t update_of_words(char **words)
 {
 	guint count = g_strv_length(words);
 
@@ -619,9 +619,9 @@
 static void do_other(void *ctx, char **words)
 {
 	fixture_t *fixture = ctx;
-	const poison_update_t news = news_of_words(words);
+	const poison_update_t update = update_of_words(words);
 
-	poison_apply_update(forwarder_poison(fixture->forwarder), &news, fixture->now_us);
+	poison_apply_update(forwarder_poison(fixture->forwarder), &update, fixture->now_us);
 }
 
 static void do_release(void *ctx, char **words)
@@ -635,9 +635,9 @@
 static void do_stored(void *ctx, char **words)
 {
 	fixture_t *fixture = ctx;
-	const poison_update_t news = news_of_words(words);
+	const poison_update_t update = update_of_words(words);
 
-	poison_publish_done(forwarder_poison(fixture->forwarder), &news, true, fixture->now_us);
+	poison_publish_done(forwarder_poison(fixture->forwarder), &update, true, fixture->now_us);
 }
 
 static void do_claims(void *ctx, char **words)
