--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -24,13 +24,13 @@
 #define SCRIPTS "tests/handover"
 #define START_US 1000000000ull
 
-typedef struct play_t {
+typedef struct fixture_t {
 	GString *out;
 	uint64_t now_us;
 	handovers_t *all;
 	GHashTable *known; /* name to gatherer_t */
 	GHashTable *open;  /* id to handover_t */
-} play_t;
+} fixture_t;
 
 static const char *const reasons[] = {"not-ready", "older", "no-gather", "stops", "busy", "still"};
 
@@ -41,7 +41,7 @@
 
 static void on_send(void *ctx, handover_t *handover)
 {
-	g_string_append_printf(((play_t *)ctx)->out, "> send %s to=%s again=%d%s\n",
+	g_string_append_printf(((fixture_t *)ctx)->out, "> send %s to=%s again=%d%s\n",
 			       (char *)handover->owner, name_of(handover),
 			       handover->outcome_unknown,
 			       handovers_version(handover->all) ? " not-by-older" : "");
@@ -49,20 +49,20 @@
 
 static void on_grant(void *ctx, handover_t *handover, uint32_t more)
 {
-	g_string_append_printf(((play_t *)ctx)->out, "> go %s to=%s more=%u\n",
+	g_string_append_printf(((fixture_t *)ctx)->out, "> go %s to=%s more=%u\n",
 			       (char *)handover->owner, name_of(handover), more);
 }
 
 static void on_cancel(void *ctx, handover_t *handover)
 {
-	g_string_append_printf(((play_t *)ctx)->out, "> cancel %s to=%s\n", (char *)handover->owner,
-			       name_of(handover));
+	g_string_append_printf(((fixture_t *)ctx)->out, "> cancel %s to=%s\n",
+			       (char *)handover->owner, name_of(handover));
 }
 
 static void on_unresponsive(void *ctx, const handover_t *handover, uint64_t after_us)
 {
-	g_string_append_printf(((play_t *)ctx)->out, "> silent %s after_ms=%d\n", name_of(handover),
-			       (int)(after_us / 1000));
+	g_string_append_printf(((fixture_t *)ctx)->out, "> silent %s after_ms=%d\n",
+			       name_of(handover), (int)(after_us / 1000));
 }
 
 static void on_rejected(void *ctx, const handover_t *handover, hop_reason_t reason)
@@ -74,28 +74,28 @@
 
 static void on_answer(void *ctx, handover_t *handover, const hop_answer_t *answer)
 {
-	play_t *play = ctx;
+	fixture_t *fixture = ctx;
 
-	g_string_append_printf(play->out, "> answer %s %s retry_after_ms=%d\n",
+	g_string_append_printf(fixture->out, "> answer %s %s retry_after_ms=%d\n",
 			       (char *)handover->owner, forward_outcome_name(answer->end),
 			       (int)(answer->retry_after_us / 1000));
-	g_hash_table_remove(play->open, handover->owner);
+	g_hash_table_remove(fixture->open, handover->owner);
 }
 
 static void on_gather_here(void *ctx, handover_t *handover)
 {
-	play_t *play = ctx;
+	fixture_t *fixture = ctx;
 
-	g_string_append_printf(play->out, "> here %s\n", (char *)handover->owner);
-	g_hash_table_remove(play->open, handover->owner);
+	g_string_append_printf(fixture->out, "> here %s\n", (char *)handover->owner);
+	g_hash_table_remove(fixture->open, handover->owner);
 }
 
 static void on_newer_version(void *ctx, uint64_t version)
 {
-	g_string_append_printf(((play_t *)ctx)->out, "> newer %d\n", (int)version);
+	g_string_append_printf(((fixture_t *)ctx)->out, "> newer %d\n", (int)version);
 }
 
-static void *play_new(GString *out)
+static void *fixture_new(GString *out)
 {
 	static const handover_ops_t ops = {.send = on_send,
 					   .grant = on_grant,
@@ -105,35 +105,35 @@
 					   .answer = on_answer,
 					   .gather_here = on_gather_here,
 					   .newer_version = on_newer_version};
-	play_t *play = g_new0(play_t, 1);
-
-	play->out = out;
-	play->now_us = START_US;
-	play->all = handovers_new(&ops, play);
-	play->known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					    (GDestroyNotify)gatherer_unref);
-	play->open = g_hash_table_new(g_str_hash, g_str_equal);
-	return play;
+	fixture_t *fixture = g_new0(fixture_t, 1);
+
+	fixture->out = out;
+	fixture->now_us = START_US;
+	fixture->all = handovers_new(&ops, fixture);
+	fixture->known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					       (GDestroyNotify)gatherer_unref);
+	fixture->open = g_hash_table_new(g_str_hash, g_str_equal);
+	return fixture;
 }
 
-static void play_free(void *ctx)
+static void fixture_free(void *ctx)
 {
-	play_t *play = ctx;
-	gsize printed = play->out->len;
-	g_autoptr(GList) open = g_hash_table_get_values(play->open);
+	fixture_t *fixture = ctx;
+	gsize printed = fixture->out->len;
+	g_autoptr(GList) open = g_hash_table_get_values(fixture->open);
 
 	for (GList *item = open; item; item = item->next)
 		handover_abandon(item->data);
-	g_string_truncate(play->out, printed);
-	handovers_free(play->all);
-	g_hash_table_unref(play->known);
-	g_hash_table_unref(play->open);
-	g_free(play);
+	g_string_truncate(fixture->out, printed);
+	handovers_free(fixture->all);
+	g_hash_table_unref(fixture->known);
+	g_hash_table_unref(fixture->open);
+	g_free(fixture);
 }
 
 static void do_gatherers(void *ctx, char **words)
 {
-	play_t *play = ctx;
+	fixture_t *fixture = ctx;
 	g_autoptr(GPtrArray) vms = g_ptr_array_new_with_free_func(vm_free);
 	const GPtrArray *gatherers;
 
@@ -146,58 +146,58 @@
 
 		g_ptr_array_add(vms, vm_new(&vm));
 	}
-	handovers_set_gatherers(play->all, vms, "here");
-	gatherers = handovers_gatherers(play->all);
+	handovers_set_gatherers(fixture->all, vms, "here");
+	gatherers = handovers_gatherers(fixture->all);
 	for (guint i = 0; i < gatherers->len; i++) {
 		gatherer_t *gatherer = g_ptr_array_index(gatherers, i);
 
-		g_hash_table_insert(play->known, g_strdup(gatherer->vm->name),
+		g_hash_table_insert(fixture->known, g_strdup(gatherer->vm->name),
 				    gatherer_ref(gatherer));
 	}
 }
 
-static gatherer_t *find_gatherer(play_t *play, const char *name)
+static gatherer_t *find_gatherer(fixture_t *fixture, const char *name)
 {
-	gatherer_t *gatherer = g_hash_table_lookup(play->known, name);
+	gatherer_t *gatherer = g_hash_table_lookup(fixture->known, name);
 
 	if (!gatherer)
 		g_error("no gatherer %s", name);
 	return gatherer;
 }
 
-static void receive(play_t *play, const char *name, const char *id, hop_message_t message)
+static void receive(fixture_t *fixture, const char *name, const char *id, hop_message_t message)
 {
 	static uint64_t serial_of_none;
-	const handover_t *handover = id ? g_hash_table_lookup(play->open, id) : NULL;
+	const handover_t *handover = id ? g_hash_table_lookup(fixture->open, id) : NULL;
 
 	message.serial = handover ? handover->serial : serial_of_none;
-	handovers_receive(play->all, find_gatherer(play, name), &message, play->now_us);
+	handovers_receive(fixture->all, find_gatherer(fixture, name), &message, fixture->now_us);
 }
 
 static void do_there(void *ctx, char **words)
 {
-	play_t *play = ctx;
-	gatherer_t *gatherer = find_gatherer(play, words[1]);
+	fixture_t *fixture = ctx;
+	gatherer_t *gatherer = find_gatherer(fixture, words[1]);
 
 	if (gatherer->state == GATHERER_CLOSED)
 		gatherer->state = GATHERER_PINGED;
-	receive(play, words[1], NULL, (hop_message_t){.type = HOP_PONG});
+	receive(fixture, words[1], NULL, (hop_message_t){.type = HOP_PONG});
 }
 
 static void do_request(void *ctx, char **words)
 {
-	play_t *play = ctx;
-	const handover_limits_t limits = {.deadline_us = play->now_us +
+	fixture_t *fixture = ctx;
+	const handover_limits_t limits = {.deadline_us = fixture->now_us +
 							 strtoull(words[2], NULL, 10) * 1000,
 					  .target_us = strtoull(words[3], NULL, 10) * 1000,
 					  .attempts_max = (uint32_t)atoi(words[4])};
 	char *id = (char *)g_intern_string(words[1]);
-	handover_t *handover = handover_begin(play->all, &limits, id, play->now_us);
+	handover_t *handover = handover_begin(fixture->all, &limits, id, fixture->now_us);
 
 	if (handover)
-		g_hash_table_insert(play->open, id, handover);
+		g_hash_table_insert(fixture->open, id, handover);
 	else
-		g_string_append_printf(play->out, "> nobody takes %s\n", id);
+		g_string_append_printf(fixture->out, "> nobody takes %s\n", id);
 }
 
 static void do_taken(void *ctx, char **words)
@@ -237,38 +237,38 @@
 
 static void do_lost(void *ctx, char **words)
 {
-	play_t *play = ctx;
+	fixture_t *fixture = ctx;
 
-	handovers_connection_lost(play->all, find_gatherer(play, words[1]), play->now_us);
+	handovers_connection_lost(fixture->all, find_gatherer(fixture, words[1]), fixture->now_us);
 }
 
 static void do_leave(void *ctx, char **words)
 {
-	play_t *play = ctx;
-	handover_t *handover = g_hash_table_lookup(play->open, words[1]);
+	fixture_t *fixture = ctx;
+	handover_t *handover = g_hash_table_lookup(fixture->open, words[1]);
 
-	g_hash_table_remove(play->open, words[1]);
+	g_hash_table_remove(fixture->open, words[1]);
 	handover_abandon(handover);
 }
 
 static void do_at(void *ctx, char **words)
 {
-	play_t *play = ctx;
+	fixture_t *fixture = ctx;
 	uint64_t until_us = START_US + strtoull(words[1], NULL, 10) * 1000;
 
-	while (handovers_next_us(play->all) <= until_us) {
-		play->now_us = MAX(play->now_us, handovers_next_us(play->all));
-		handovers_run(play->all, play->now_us);
+	while (handovers_next_us(fixture->all) <= until_us) {
+		fixture->now_us = MAX(fixture->now_us, handovers_next_us(fixture->all));
+		handovers_run(fixture->all, fixture->now_us);
 	}
-	play->now_us = until_us;
+	fixture->now_us = until_us;
 }
 
 static void do_stand(void *ctx, char **words)
 {
-	play_t *play = ctx;
+	fixture_t *fixture = ctx;
 
-	play->now_us = START_US + strtoull(words[1], NULL, 10) * 1000;
-	handovers_run(play->all, play->now_us);
+	fixture->now_us = START_US + strtoull(words[1], NULL, 10) * 1000;
+	handovers_run(fixture->all, fixture->now_us);
 }
 
 static const script_command_t commands[] = {
@@ -283,8 +283,8 @@
 int main(void)
 {
 	const script_runner_ops_t ops = {.folder = SCRIPTS,
-					 .start = play_new,
-					 .end = play_free,
+					 .start = fixture_new,
+					 .end = fixture_free,
 					 .commands = commands,
 					 .command_count = G_N_ELEMENTS(commands)};
 
