--- a/tests/load_world.c
+++ b/tests/load_world.c
@@ -36,8 +36,8 @@
 #define WINDOW_US (10000 * MS)
 #define BEGIN_US 1000000000
 #define FAULT_FROM_US (5000 * MS)
-#define COUNT_FROM_US (6000 * MS)
-#define COUNT_TO_US (24000 * MS)
+#define MEASURE_FROM_US (6000 * MS)
+#define MEASURE_TO_US (24000 * MS)
 #define END_US (30000 * MS)
 /* Shares of the requests that the VMs of each data centre get. */
 static const double weights[DATA_CENTRES] = {0.18, 0.31, 0.51};
@@ -477,8 +477,8 @@
 
 static bool is_counted(const caller_t *caller)
 {
-	return caller->first_us >= BEGIN_US + COUNT_FROM_US &&
-	       caller->first_us < BEGIN_US + COUNT_TO_US;
+	return caller->first_us >= BEGIN_US + MEASURE_FROM_US &&
+	       caller->first_us < BEGIN_US + MEASURE_TO_US;
 }
 
 static void count_answer(caller_t *caller, const forward_answer_t *answer)
