--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -301,7 +301,7 @@
 		  g_str_equal(kind->service, "mail") ? key : "x1");
 }
 
-static void play(scene_t *scene, const kind_t *kind)
+static void run_scene(scene_t *scene, const kind_t *kind)
 {
 	world_t *world = scene->world;
 	bool frozen_briefly;
@@ -392,7 +392,7 @@
 
 	scene.world = world_new(SERVICES, 2, SEED);
 	scene.proposal_end = scene.racing_end = PROPOSAL_UNKNOWN;
-	play(&scene, kind);
+	run_scene(&scene, kind);
 	describe(&scene, kind, out);
 	if (!second && fault->expects_complete_answer && kind->service &&
 	    !g_str_equal(kind->service, "mail") && !is_complete_or_gone(&scene))
