--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -23,7 +23,7 @@
 	return message;
 }
 
-/* All headers are forwarded unchanged, except those of the connection and those that are replaced.
+/* All headers are forwarded unchanged, except hop-by-hop headers and the headers that are replaced.
  */
 static void test_request_head(void **state)
 {
@@ -56,15 +56,15 @@
 typedef struct reply_case_t {
 	const char *what;
 	const char *text;
-	sub_outcome_t end;
+	sub_outcome_t outcome;
 	bool foreign;
 } reply_case_t;
 
-#define STAMPED "Dogwoodsaddle-Response-Signature: s\r\n"
+#define SIGNED "Dogwoodsaddle-Response-Signature: s\r\n"
 
 typedef struct load_case_t {
 	const char *text;
-	bool told;
+	bool reported;
 	reported_load_t load;
 } load_case_t;
 
@@ -98,8 +98,8 @@
 		sub_reply_t *reply = headers_read_reply(message, "id", &foreign);
 
 		assert_int_equal(reply->outcome, SUB_ANSWERED);
-		assert_int_equal(reply->load_reported, loads[i].told);
-		assert_int_equal(reply->load_malformed, !loads[i].told);
+		assert_int_equal(reply->load_reported, loads[i].reported);
+		assert_int_equal(reply->load_malformed, !loads[i].reported);
 		assert_memory_equal(&reply->load, &loads[i].load, sizeof(reported_load_t));
 		sub_reply_free(reply);
 		http_message_free(message);
@@ -107,22 +107,23 @@
 }
 
 static const reply_case_t replies[] = {
-	{"success", "HTTP/1.1 200 OK\r\n" STAMPED "Content-Length: 0\r\n\r\n", SUB_ANSWERED},
-	{"no stamp", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", SUB_UNKNOWN},
+	{"success", "HTTP/1.1 200 OK\r\n" SIGNED "Content-Length: 0\r\n\r\n", SUB_ANSWERED},
+	{"no signature", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", SUB_UNKNOWN},
 	{"encoded",
-	 "HTTP/1.1 200 OK\r\n" STAMPED "Content-Encoding: gzip\r\nContent-Length: 0\r\n\r\n",
+	 "HTTP/1.1 200 OK\r\n" SIGNED "Content-Encoding: gzip\r\nContent-Length: 0\r\n\r\n",
 	 SUB_UNKNOWN},
-	{"own failure", "HTTP/1.1 500 No\r\n" STAMPED "Content-Length: 0\r\n\r\n", SUB_FAILED},
+	{"the searcher's own failure", "HTTP/1.1 500 No\r\n" SIGNED "Content-Length: 0\r\n\r\n",
+	 SUB_FAILED},
 	{"refused", "HTTP/1.1 503 No\r\nDogwoodsaddle-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 	 SUB_NOT_RUN},
-	{"503 that promises nothing", "HTTP/1.1 503 No\r\n" STAMPED "Content-Length: 0\r\n\r\n",
+	{"503 without Not-Executed", "HTTP/1.1 503 No\r\n" SIGNED "Content-Length: 0\r\n\r\n",
 	 SUB_UNKNOWN},
 	{"another searcher", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", SUB_REPLACED},
 	{"echoed id",
-	 "HTTP/1.1 200 OK\r\n" STAMPED "Dogwoodsaddle-Request-Id: id\r\nContent-Length: 0\r\n\r\n",
+	 "HTTP/1.1 200 OK\r\n" SIGNED "Dogwoodsaddle-Request-Id: id\r\nContent-Length: 0\r\n\r\n",
 	 SUB_ANSWERED},
 	{"reply to another request",
-	 "HTTP/1.1 200 OK\r\n" STAMPED "Dogwoodsaddle-Request-Id: old\r\nContent-Length: 0\r\n\r\n",
+	 "HTTP/1.1 200 OK\r\n" SIGNED "Dogwoodsaddle-Request-Id: old\r\nContent-Length: 0\r\n\r\n",
 	 SUB_UNKNOWN, true},
 };
 
@@ -134,7 +135,7 @@
 		bool foreign;
 		sub_reply_t *reply = headers_read_reply(message, "id", &foreign);
 
-		if (reply->outcome != replies[i].end || foreign != replies[i].foreign)
+		if (reply->outcome != replies[i].outcome || foreign != replies[i].foreign)
 			fail_msg("%s: %s", replies[i].what, sub_outcome_name(reply->outcome));
 		sub_reply_free(reply);
 		http_message_free(message);
@@ -196,8 +197,8 @@
 	"{\"version\":1,\"routes\":[{\"name\":\"n\",\"host\":\"h\",\"path-prefix\":\"/\","         \
 	"\"service\":\"s\",\"allowed-regions\":" regions "}]}"
 
-/* An error without an era may come from something else than the store; a store without eras was
- * never restored from an older copy. */
+/* An error reply without an era may come from another program than the store. A success without an
+ * era means that the store was never restored from an older copy. */
 static void test_eras(void **state)
 {
 	err_t err = {0};
@@ -238,7 +239,7 @@
 	json_decref(json);
 }
 
-static void test_bad_routing(void **state)
+static void test_invalid_routing(void **state)
 {
 	static const char *const texts[] = {
 		"{}",
@@ -296,13 +297,14 @@
 	json_decref(json);
 }
 
-/* Entries that another program wrote into the list. Accepted as a searcher, such an entry would get
- * requests: at an invalid address, with an id that splits a header, or as ready although its state
- * is another. Each row changes one field of a valid entry; null removes it. */
+/* Invalid entries that another program wrote into the list of searchers. If such an entry were
+ * accepted, its searcher would get requests: at an invalid address, with an id that splits a
+ * header, or as ready although its state is another. Each row changes one field of a valid entry;
+ * null removes the field. */
 static const struct {
 	const char *field;
 	const char *value;
-} entry_faults[] = {
+} invalid_fields[] = {
 	{"service", "null"},
 	{"service", "7"},
 	{"service", "{}"},
@@ -347,18 +349,18 @@
 	searcher_entry_t entry;
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(entry_faults); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid_fields); i++) {
 		json_t *json = json_loads(ENTRY, 0, NULL);
-		json_t *value = json_loads(entry_faults[i].value, JSON_DECODE_ANY, NULL);
+		json_t *value = json_loads(invalid_fields[i].value, JSON_DECODE_ANY, NULL);
 		const store_object_t object = {.name = "i-1", .content = json};
 		err_t err = {0};
 
 		if (json_is_null(value))
-			json_object_del(json, entry_faults[i].field);
+			json_object_del(json, invalid_fields[i].field);
 		else
-			json_object_set(json, entry_faults[i].field, value);
+			json_object_set(json, invalid_fields[i].field, value);
 		if (store_read_searcher(&object, &entry, &err))
-			fail_msg("taken: %s %s", entry_faults[i].field, entry_faults[i].value);
+			fail_msg("taken: %s %s", invalid_fields[i].field, invalid_fields[i].value);
 		assert_true(*err.text);
 		json_decref(value);
 		json_decref(json);
@@ -373,7 +375,7 @@
 	}
 }
 
-/* A page with one damaged entry is still read, and that entry with its name: VMs that used its
+/* A page with one damaged entry is still read, and so is the name of that entry: VMs that used its
  * searcher must learn that the name has no valid entry any more. */
 static void test_damaged_pages(void **state)
 {
@@ -486,12 +488,12 @@
 	json_decref(json);
 }
 
-static bool read_poison(const char *name, const char *content, poison_update_t *news)
+static bool read_poison(const char *name, const char *content, poison_update_t *update)
 {
 	json_t *json = json_loads(content, 0, NULL);
 	const store_object_t object = {.name = name, .content = json};
 	err_t err = {0};
-	bool read = store_read_poison(&object, news, &err);
+	bool read = store_read_poison(&object, update, &err);
 
 	json_decref(json);
 	return read;
@@ -499,31 +501,31 @@
 
 static void test_poison(void **state)
 {
-	const poison_update_t told = {.fingerprint = 0xabc,
-				      .strikes = 2,
-				      .renewals = 3,
-				      .trials = 5,
-				      .ran = 4,
-				      .service = "s-1"};
-	g_autofree char *text = store_write_poison(&told);
+	const poison_update_t published = {.fingerprint = 0xabc,
+					   .strikes = 2,
+					   .renewals = 3,
+					   .trials = 5,
+					   .ran = 4,
+					   .service = "s-1"};
+	g_autofree char *text = store_write_poison(&published);
 	json_t *json = json_loads(text, 0, NULL);
 	const json_t *meta = json_object_get(json, "meta");
 	const store_object_t object = {.name = json_string_value(json_object_get(meta, "name")),
 				       .content = json_object_get(json, "spec")};
 	const store_object_t removed = {.name = "0000000000000abc", .removed = true};
-	poison_update_t news;
+	poison_update_t update;
 	err_t err = {0};
 
 	(void)state;
-	assert_true(store_read_poison(&object, &news, &err));
-	assert_true(news.fingerprint == 0xabc);
-	assert_int_equal(news.strikes, 2);
-	assert_int_equal(news.renewals, 3);
-	assert_int_equal(news.trials, 5);
-	assert_int_equal(news.ran, 4);
-	assert_string_equal(news.service, "s-1");
-	assert_true(store_read_poison(&removed, &news, &err));
-	assert_true(news.fingerprint == 0xabc);
+	assert_true(store_read_poison(&object, &update, &err));
+	assert_true(update.fingerprint == 0xabc);
+	assert_int_equal(update.strikes, 2);
+	assert_int_equal(update.renewals, 3);
+	assert_int_equal(update.trials, 5);
+	assert_int_equal(update.ran, 4);
+	assert_string_equal(update.service, "s-1");
+	assert_true(store_read_poison(&removed, &update, &err));
+	assert_true(update.fingerprint == 0xabc);
 	json_decref(json);
 }
 
@@ -531,7 +533,7 @@
 static void test_claim(void **state)
 {
 	g_autofree char *create = store_claim_target(0xabc, 0);
-	g_autofree char *drop = store_claim_target(0xabc, 2);
+	g_autofree char *removal = store_claim_target(0xabc, 2);
 	g_autofree char *text = store_write_claim(0xabc, 2, "vm-1");
 	json_t *json = json_loads(text, 0, NULL);
 	const json_t *meta = json_object_get(json, "meta");
@@ -539,12 +541,12 @@
 	g_autofree char *own = g_strdup_printf("%s/%s", create, name);
 
 	(void)state;
-	assert_string_equal(own, drop);
+	assert_string_equal(own, removal);
 	assert_string_equal(name, "0000000000000abc-2");
 	json_decref(json);
 }
 
-/* Invalid entries of another program block no request. */
+/* Invalid poison entries that another program wrote do not block any request. */
 static void test_invalid_poison_entries(void **state)
 {
 	static const char *const contents[] = {
@@ -558,16 +560,16 @@
 		"{\"strikes\":2,\"renewals\":0,\"trials\":-1,\"service\":\"s\"}",
 		"{\"strikes\":9000000000,\"renewals\":0,\"service\":\"s\"}",
 	};
-	const char *sound = "{\"strikes\":2,\"renewals\":0,\"service\":\"s\"}";
-	poison_update_t news;
+	const char *valid = "{\"strikes\":2,\"renewals\":0,\"service\":\"s\"}";
+	poison_update_t update;
 
 	(void)state;
-	assert_true(read_poison("0000000000000abc", sound, &news));
-	assert_int_equal(news.trials, 0); /* daemons of an earlier version do not write it */
-	assert_false(read_poison("abc", sound, &news));
-	assert_false(read_poison("0000000000000000", sound, &news));
+	assert_true(read_poison("0000000000000abc", valid, &update));
+	assert_int_equal(update.trials, 0); /* daemons of an earlier version do not write trials */
+	assert_false(read_poison("abc", valid, &update));
+	assert_false(read_poison("0000000000000000", valid, &update));
 	for (size_t i = 0; i < G_N_ELEMENTS(contents); i++)
-		assert_false(read_poison("0000000000000abc", contents[i], &news));
+		assert_false(read_poison("0000000000000abc", contents[i], &update));
 }
 
 /* A daemon of an earlier version does not publish its processor, and gathers for no other VM. */
@@ -591,15 +593,15 @@
 {
 	g_autofree char *list = store_list_target(STORE_SEARCHERS, NULL);
 	g_autofree char *next = store_list_target(STORE_SEARCHERS, "a/b");
-	g_autofree char *old = store_stale_list_target(STORE_VMS, NULL);
-	g_autofree char *old_next = store_stale_list_target(STORE_VMS, "vm-1");
+	g_autofree char *stale = store_stale_list_target(STORE_VMS, NULL);
+	g_autofree char *stale_next = store_stale_list_target(STORE_VMS, "vm-1");
 	g_autofree char *watch = store_watch_target(STORE_CONFIGURATION, 5, 100);
 
 	(void)state;
 	assert_string_equal(list, "/objects/servers");
 	assert_string_equal(next, "/objects/servers?after=a%2Fb");
-	assert_string_equal(old, "/objects/entry-vms?stale-ok=1");
-	assert_string_equal(old_next, "/objects/entry-vms?after=vm-1&stale-ok=1");
+	assert_string_equal(stale, "/objects/entry-vms?stale-ok=1");
+	assert_string_equal(stale_next, "/objects/entry-vms?after=vm-1&stale-ok=1");
 	assert_string_equal(watch, "/objects/config?watch=5&wait-ms=100");
 }
 
@@ -612,7 +614,7 @@
 		cmocka_unit_test(test_routing),
 		cmocka_unit_test(test_regions_without_data_centre),
 		cmocka_unit_test(test_eras),
-		cmocka_unit_test(test_bad_routing),
+		cmocka_unit_test(test_invalid_routing),
 		cmocka_unit_test(test_searcher),
 		cmocka_unit_test(test_pages),
 		cmocka_unit_test(test_vm),
