--- a/tests/store_sync_test.c
+++ b/tests/store_sync_test.c
@@ -34,12 +34,12 @@
 typedef enum failure_t { SILENT, BUSY, RESET, SLOW, ANSWERS_LOST, FAILURES } failure_t;
 
 /** A set of VMs, one bit each. */
-typedef uint64_t vms_t;
+typedef uint64_t vm_set_t;
 
 /** A failure of the store for some VMs, for a time. */
 typedef struct outage_t {
 	failure_t failure;
-	vms_t vms;
+	vm_set_t vms;
 	uint64_t from_us, until_us;
 } outage_t;
 
@@ -237,7 +237,7 @@
 }
 
 /* All connections of these VMs to the store, in use or idle, go silent for good. */
-static void silence_connections(sim_t *sim, vms_t vms)
+static void silence_connections(sim_t *sim, vm_set_t vms)
 {
 	swallow(sim, NULL, vms, 0);
 	for (uint32_t i = 0; i < sim->count; i++)
@@ -245,7 +245,8 @@
 			sim->nodes[i].calls[kind].dead |= vms >> i & 1;
 }
 
-static void add_outage(sim_t *sim, failure_t failure, vms_t vms, uint64_t from_us, uint64_t for_us)
+static void add_outage(sim_t *sim, failure_t failure, vm_set_t vms, uint64_t from_us,
+		       uint64_t for_us)
 {
 	sim->outages[sim->outage_count++] = (outage_t){
 		.failure = failure, .vms = vms, .from_us = from_us, .until_us = from_us + for_us};
@@ -354,7 +355,7 @@
 	call->serial = 0;
 }
 
-static void on_ask(void *ctx, uint32_t kind, const store_sync_call_t *asked)
+static void on_call(void *ctx, uint32_t kind, const store_sync_call_t *asked)
 {
 	node_t *node = ctx;
 	sim_t *sim = node->sim;
@@ -370,12 +371,12 @@
 	after(sim, asked->timeout_us, time_out, node, kind, call->serial);
 }
 
-static void on_list_anew(void *ctx, uint32_t kind)
+static void on_restart_list(void *ctx, uint32_t kind)
 {
 	on_cancel(ctx, kind);
 }
 
-static void looked(sim_t *sim, node_t *node, uint64_t reached, uint64_t none)
+static void store_checked(sim_t *sim, node_t *node, uint64_t reached, uint64_t none)
 {
 	(void)none;
 	if (reached)
@@ -383,14 +384,14 @@
 	store_sync_check_ended(node->sync, reached, sim->now_us);
 }
 
-static void on_look(void *ctx, uint64_t timeout_us)
+static void on_check_store(void *ctx, uint64_t timeout_us)
 {
 	node_t *node = ctx;
 	const outage_t *outage = outage_of(node->sim, node);
 	bool lost = outage && (outage->failure == SILENT || outage->failure == ANSWERS_LOST);
 
 	node->asked++;
-	after(node->sim, lost ? timeout_us : 2 * delay_of(node->sim, node), looked, node,
+	after(node->sim, lost ? timeout_us : 2 * delay_of(node->sim, node), store_checked, node,
 	      !outage || outage->failure == SLOW, 0);
 }
 
@@ -422,13 +423,13 @@
 	g_ptr_array_add(closed_links, sync_link->data);
 }
 
-static void on_ask_link(void *ctx, store_sync_link_t *link, uint32_t kind)
+static void on_request_announced(void *ctx, store_sync_link_t *link, uint32_t kind)
 {
 	(void)link;
 	((node_t *)ctx)->asked_links += kind == KIND_CONFIGURATION;
 }
 
-static void on_taken(void *ctx, const store_sync_link_t *link)
+static void on_feed_changed(void *ctx, const store_sync_link_t *link)
 {
 	(void)ctx;
 	(void)link;
@@ -460,14 +461,14 @@
 
 static void add_node(sim_t *sim, const feed_timing_t *timing, bool feeds, uint32_t seed)
 {
-	static const store_sync_ops_t ops = {.call = on_ask,
+	static const store_sync_ops_t ops = {.call = on_call,
 					     .cancel = on_cancel,
-					     .restart_list = on_list_anew,
-					     .check_store = on_look,
+					     .restart_list = on_restart_list,
+					     .check_store = on_check_store,
 					     .open = on_open,
 					     .close = on_close,
-					     .request_announced = on_ask_link,
-					     .feed_changed = on_taken,
+					     .request_announced = on_request_announced,
+					     .feed_changed = on_feed_changed,
 					     .unreachable = on_nothing,
 					     .recovered = on_nothing};
 	uint32_t wait_ms = feeds ? timing->feeder_watch_ms : timing->watch_ms;
@@ -567,7 +568,7 @@
 }
 
 /* Every VM of @p vms has the latest change of each of the first @p kinds. */
-static void expect_kinds(const sim_t *sim, uint32_t kinds, vms_t vms, const char *what,
+static void expect_kinds(const sim_t *sim, uint32_t kinds, vm_set_t vms, const char *what,
 			 uint64_t detail)
 {
 	for (uint32_t i = 0; i < sim->count; i++)
@@ -580,7 +581,7 @@
 					 sim->revision[kind]);
 }
 
-static void expect_known(const sim_t *sim, vms_t vms, const char *what, uint64_t detail)
+static void expect_known(const sim_t *sim, vm_set_t vms, const char *what, uint64_t detail)
 {
 	expect_kinds(sim, KINDS, vms, what, detail);
 }
@@ -597,15 +598,15 @@
 	const feed_timing_t timing = timing_of(bounds);
 	sim_t *sim = sim_new(&timing, count, watchers, (uint32_t)(outage_ms * 7 + after_ms));
 	uint64_t outage_us = START_US + 9000 * MS_US + outage_ms % 977 * MS_US;
-	uint64_t back_us = outage_us + outage_ms * MS_US;
-	uint64_t acked_us = back_us + after_ms * MS_US;
+	uint64_t recovered_us = outage_us + outage_ms * MS_US;
+	uint64_t acked_us = recovered_us + after_ms * MS_US;
 
 	set_all_vms(sim, watchers);
 	add_outage(sim, failure, ALL_VMS, outage_us, outage_ms * MS_US);
 	run_until(sim, acked_us);
 	change_all(sim);
-	run_until(sim,
-		  MAX(back_us + bounds->settle_ms * MS_US, acked_us + bounds->apply_ms * MS_US));
+	run_until(sim, MAX(recovered_us + bounds->settle_ms * MS_US,
+			   acked_us + bounds->apply_ms * MS_US));
 	expect_known(sim, ALL_VMS, names[failure], outage_ms);
 	sim_free(sim);
 }
@@ -624,7 +625,7 @@
 			}
 }
 
-/* The same where a few VMs watch the store and feed the others. */
+/* The same failures where a few VMs watch the store and feed the others. */
 static void test_change_after_an_outage_is_late_on_fed_vms(void **state)
 {
 	(void)state;
@@ -635,7 +636,7 @@
 					   outage_ms * 31 % 3000);
 }
 
-/* Connections that go silent hide a change right after that. */
+/* Connections go silent, and the store changes right after that: no VM may miss the change. */
 static void test_silent_connections_hide_a_change(void **state)
 {
 	(void)state;
@@ -658,11 +659,11 @@
 			}
 }
 
-/* The same on some VMs, several times, with the change a while later: a call that was repeated
- * after one failure is lost in the next. */
+/* The connections of some VMs go silent several times, and the change comes a while later: a call
+ * that was repeated after one failure is lost in the next. */
 static void test_silent_connections_of_some_hide_a_change(void **state)
 {
-	static const vms_t some[] = {1, 2, 3, 0x16, 0x3e, ALL_VMS};
+	static const vm_set_t some[] = {1, 2, 3, 0x16, 0x3e, ALL_VMS};
 	const uint32_t watchers = 2, gap_ms = 3300, times = 3;
 
 	(void)state;
@@ -689,8 +690,8 @@
 			}
 }
 
-/* VMs that reach the store themselves get a change as late as their feeder that does not: it sends
- * nothing new. */
+/* A feeder that does not reach the store sends nothing new, so its subscribers get a change as late
+ * as the feeder, although they could reach the store themselves. */
 static void run_cut_feeders(const bounds_t *bounds, failure_t failure, uint32_t feeders,
 			    uint64_t at_ms)
 {
@@ -703,7 +704,7 @@
 	run_until(sim, cut_us + at_ms * 13 % 4000 * MS_US);
 	change_all(sim);
 	run_until(sim, sim->now_us + bounds->apply_ms * MS_US);
-	expect_known(sim, ALL_VMS & ~(vms_t)3, "feeders cut off", at_ms);
+	expect_known(sim, ALL_VMS & ~(vm_set_t)3, "feeders cut off", at_ms);
 	sim_free(sim);
 }
 
@@ -718,7 +719,7 @@
 							at_ms);
 }
 
-/* The same with feeders that notice it late, as they would with other settings: only the age in
+/* The feeders that are cut off notice it late, as they would with other settings: only the age in
  * their status shows it. */
 static void run_late_feeders(const bounds_t *bounds, uint32_t settle_ms, uint64_t at_ms)
 {
@@ -736,7 +737,7 @@
 	run_until(sim, due_us - 1000 * MS_US);
 	sim->nodes[0].cut = sim->nodes[1].cut = at_ms % 2;
 	run_until(sim, due_us);
-	expect_known(sim, ALL_VMS & ~(vms_t)3, "late feeders", at_ms);
+	expect_known(sim, ALL_VMS & ~(vm_set_t)3, "late feeders", at_ms);
 	sim_free(sim);
 }
 
@@ -765,14 +766,14 @@
 			sim->nodes[1].cut = at_ms % 2;
 			change_all(sim);
 			run_until(sim, sim->now_us + all_bounds[i].apply_ms * MS_US);
-			expect_known(sim, ALL_VMS & ~(vms_t)3, "feeders stand still", at_ms);
+			expect_known(sim, ALL_VMS & ~(vm_set_t)3, "suspended feeders", at_ms);
 			sim_free(sim);
 		}
 }
 
 /* VMs that can't reach the store keep old data, although other VMs have the change. */
 static void run_cut_off(const bounds_t *bounds, failure_t failure, uint32_t watchers,
-			uint32_t count, vms_t cut_off, uint64_t at_ms, uint64_t lead_ms)
+			uint32_t count, vm_set_t cut_off, uint64_t at_ms, uint64_t lead_ms)
 {
 	const feed_timing_t timing = timing_of(bounds);
 	sim_t *sim = sim_new(&timing, count, watchers, (uint32_t)at_ms);
@@ -784,7 +785,7 @@
 	for (int times = 0; times < 3; times++) {
 		change_all(sim);
 		run_until(sim, sim->now_us + bounds->apply_ms * MS_US);
-		expect_known(sim, ALL_VMS, "turned away", at_ms);
+		expect_known(sim, ALL_VMS, "VMs cut off from the store", at_ms);
 	}
 	sim_free(sim);
 }
@@ -932,7 +933,7 @@
 			set_all_vms(sim, watchers);
 			break;
 		case 5:
-			silence_connections(sim, (vms_t)1 << node->number);
+			silence_connections(sim, (vm_set_t)1 << node->number);
 			break;
 		default:
 			change(sim, NULL, (uint64_t)g_rand_int_range(sim->rand, 0, KINDS), 0);
@@ -942,9 +943,9 @@
 		sim->nodes[i].cut = false;
 	change_all(sim);
 	run_until(sim, sim->now_us + MAX(bounds->settle_ms, bounds->apply_ms) * MS_US);
-	expect_kinds(sim, KIND_RARE, ALL_VMS, "troubles", seed);
+	expect_kinds(sim, KIND_RARE, ALL_VMS, "random failures", seed);
 	run_until(sim, sim->now_us + RARE_US);
-	expect_known(sim, ALL_VMS, "troubles", seed);
+	expect_known(sim, ALL_VMS, "random failures", seed);
 	sim_free(sim);
 }
 
