--- a/tests/script_runner.h
+++ b/tests/script_runner.h
@@ -1,12 +1,12 @@
 /**
  * @file script_runner.h
- * Runs scripts of commands and compares their output with the expected lines, which begin with ">
- * ".
+ * Runs scripts of commands and compares their output with the expected lines, which begin with
+ * "> ".
  *
  * With WRITE_SCRIPTS=1 in the environment, the output is written into the scripts instead.
  */
-#ifndef DS_TESTS_PLAYBOOK_H
-#define DS_TESTS_PLAYBOOK_H
+#ifndef DS_TESTS_SCRIPT_RUNNER_H
+#define DS_TESTS_SCRIPT_RUNNER_H
 
 #include <glib.h>
 
