--- a/tests/random_test.c
+++ b/tests/random_test.c
@@ -100,7 +100,7 @@
 static void leave_with_false_health(world_t *world, replica_t *replica)
 {
 	start_leaving(world, replica);
-	replica->lie_ready = true;
+	replica->false_ready = true;
 }
 
 /* The searcher reports fewer partitions of the index than there are. */
--- a/tests/script_test.c
+++ b/tests/script_test.c
@@ -133,7 +133,7 @@
 		     {"frozen", &replica->frozen},
 		     {"silent", &replica->silent},
 		     {"shed", &replica->shed},
-		     {"lie-ready", &replica->lie_ready},
+		     {"lie-ready", &replica->false_ready},
 		     {"wrong-version", &replica->wrong_version},
 		     {"truncate", &replica->truncate},
 		     {"drop-reply", &replica->drop_reply},
--- a/tests/world.c
+++ b/tests/world.c
@@ -196,9 +196,9 @@
 static upstream_report_t *report_of(const replica_t *replica, bool health)
 {
 	upstream_report_t *report = upstream_report_new();
-	bool lies = replica->lie_ready && health;
+	bool reports_ready = replica->false_ready && health;
 
-	report->state = lies ? UPSTREAM_READY : replica->state;
+	report->state = reports_ready ? UPSTREAM_READY : replica->state;
 	report->has_versions = health;
 	for (size_t i = 0; health && i < G_N_ELEMENTS(replica->versions); i++) {
 		index_version_t held = {.version = replica->versions[i]};
@@ -364,8 +364,9 @@
 }
 
 /*
- * With a false health page, a VM learns that the searcher is leaving only from a reply. So the time
- * since it began to leave counts only while its health page is true, the time since a reply always.
+ * If the health page of a leaving searcher falsely reports "ready", a VM learns only from a reply
+ * that the searcher is leaving. So new work after the grace period is a violation only if the
+ * health page is true; new work after a VM got such a reply always is.
  */
 static void check_leaving(world_t *world, const subrequest_t *sub)
 {
@@ -374,9 +375,9 @@
 	uint64_t since_us = replica->leaving_since_us;
 
 	if (leave_reported_us && sub->sent_us > leave_reported_us)
-		violated(world, "%s got new work from a VM that it had told it leaves",
+		violated(world, "%s got new work from a VM to which it had reported \"leaving\"",
 			 replica->name);
-	if (since_us && !replica->lie_ready && world->now_us > since_us + LEAVING_GRACE_US)
+	if (since_us && !replica->false_ready && world->now_us > since_us + LEAVING_GRACE_US)
 		violated(world, "%s got new work %" G_GUINT64_FORMAT " ms after it began to leave",
 			 replica->name, (world->now_us - since_us) / 1000);
 }
@@ -613,9 +614,9 @@
 		break;
 	case CALL_WATCH:
 		if (result->end == PLATFORM_OK &&
-		    active_config_offer(&vm->adoption, result->version, result->value, &err) ==
+		    active_config_offer(&vm->active_config, result->version, result->value, &err) ==
 			    ACTIVE_CONFIG_REPLACED)
-			engine_configure(vm->engine, vm->adoption.config, world->now_us);
+			engine_configure(vm->engine, vm->active_config.config, world->now_us);
 		break;
 	}
 }
@@ -890,7 +891,7 @@
 	}
 	/* A killed process loses its state: its engine never runs again. */
 	vm->dead = true;
-	active_config_clear(&vm->adoption);
+	active_config_clear(&vm->active_config);
 	g_queue_clear_full(&vm->inbox, sub_unref);
 }
 
@@ -934,7 +935,7 @@
 void world_revive(world_t *world, replica_t *replica)
 {
 	(void)world;
-	replica->dead = replica->lie_ready = false;
+	replica->dead = replica->false_ready = false;
 	replica->state = UPSTREAM_READY;
 	replica->leaving_since_us = 0;
 	memset(replica->leave_reported_us, 0, sizeof(replica->leave_reported_us));
@@ -942,7 +943,7 @@
 
 uint64_t world_config_number(const world_t *world, uint32_t vm)
 {
-	return active_config_number(&world->vms[vm].adoption);
+	return active_config_number(&world->vms[vm].active_config);
 }
 
 /* ---- requests ---- */
@@ -1054,8 +1055,9 @@
 	json_object_set_new(config, "out", *out ? json_pack("[s]", out) : json_array());
 	*proposing = (proposing_t){.vm = vm, .end = end, .number = number};
 	*end = PROPOSAL_UNKNOWN;
-	proposal_start(proposal_new(&ops, proposing, &origin, active_config_number(&vm->adoption),
-				    json_object_get(vm->adoption.value, "history"), config));
+	proposal_start(proposal_new(&ops, proposing, &origin,
+				    active_config_number(&vm->active_config),
+				    json_object_get(vm->active_config.value, "history"), config));
 	json_decref(config);
 }
 
@@ -1157,7 +1159,7 @@
 	for (uint32_t i = 0; i < world->vm_count; i++) {
 		claims_free(world->vms[i].claims);
 		timeline_free(world->vms[i].timeline);
-		active_config_clear(&world->vms[i].adoption);
+		active_config_clear(&world->vms[i].active_config);
 	}
 	g_ptr_array_unref(world->replicas);
 	g_ptr_array_unref(world->results);
--- a/tests/world.h
+++ b/tests/world.h
@@ -2,9 +2,9 @@
  * @file world.h
  * Test fakes at the core's interfaces: searchers, the platform and virtual time.
  *
- * Every VM uses the real engine, claims and adoption. A run depends on its seed only. Each answer
- * is checked against the guarantees to callers when it is given; violations are listed in
- * `violations`.
+ * Every VM uses the real engine, claims and active configuration. A run depends on its seed only.
+ * Each answer is checked against the guarantees to callers when it is given; violations are listed
+ * in `violations`.
  */
 #ifndef DS_TEST_WORLD_H
 #define DS_TEST_WORLD_H
@@ -24,12 +24,12 @@
 	uint32_t group, groups, per_group;
 	uint64_t versions[4]; /**< versions held; 0 for none */
 	upstream_state_t state;
-	bool dead, frozen, silent, shed, lie_ready, wrong_version, truncate, drop_reply,
+	bool dead, frozen, silent, shed, false_ready, wrong_version, truncate, drop_reply,
 		claim_fewer;
 	double slow;
 	uint32_t slow_one_in;
-	uint32_t repartitioned_from; /**< from this version on a group has one more partition; 0:
-					     never */
+	uint32_t repartitioned_from; /**< first version at which this replica's group reports
+					     one more partition; 0: none */
 	uint64_t busy_until_us[WORLD_SLOTS];
 	uint64_t leaving_since_us, last_new_work_us;
 	uint64_t leave_reported_us[WORLD_VMS_MAX]; /**< when a reply first reported "leaving" to
@@ -43,7 +43,7 @@
 	char data_centre[16];
 	engine_t *engine;
 	claims_t *claims;
-	active_config_t adoption;
+	active_config_t active_config;
 	timeline_t *timeline;
 	bool dead, frozen, cut_from_platform;
 	uint64_t refreshed_us;
