--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -88,8 +88,8 @@
 
 		for (int i = start; i < start + 100; i++)
 			extra += extras[i];
-		/* The bound counts the requests of this window, of the one before, or of the one
-		 * half a window before. */
+		/* The bound follows the largest number of requests in three windows: this one, and
+		 * those that begin half a window and a whole window before it. */
 		for (int back = 0; back <= 100; back += 50) {
 			uint32_t sum = 0;
 
@@ -222,8 +222,8 @@
 	site_end(&site);
 }
 
-/* The local searcher is chosen first, another one once the local one is slow, and the local one
- * again when that is long ago. */
+/* The local searcher is chosen first, another searcher once the local one is slow, and the local one
+ * again a long time after it was slow. */
 static void test_placement(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(1);
@@ -474,17 +474,17 @@
  */
 static void test_announced_before_the_feed_is_used(void **state)
 {
-	list_watch_t follow = {0};
+	list_watch_t list_watch = {0};
 
 	(void)state;
-	list_watch_start(&follow);
-	list_watch_listed(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_WATCH);
-	list_watch_announced(&follow);
-	list_watch_stop(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
-	list_watch_listed(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
+	list_watch_start(&list_watch);
+	list_watch_listed(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_WATCH);
+	list_watch_announced(&list_watch);
+	list_watch_stop(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_LIST);
+	list_watch_listed(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_NOTHING);
 }
 
 /*
@@ -494,32 +494,32 @@
  */
 static void test_announced_by_a_feed_that_ends(void **state)
 {
-	list_watch_t follow = {0};
+	list_watch_t list_watch = {0};
 
 	(void)state;
-	list_watch_start(&follow);
-	list_watch_listed(&follow);
-	list_watch_announced(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
-	list_watch_listed(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_WATCH);
+	list_watch_start(&list_watch);
+	list_watch_listed(&list_watch);
+	list_watch_announced(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_LIST);
+	list_watch_listed(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_WATCH);
 }
 
 static void test_list_watch_stop(void **state)
 {
-	list_watch_t follow = {0};
+	list_watch_t list_watch = {0};
 
 	(void)state;
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
-	list_watch_start(&follow);
-	list_watch_stop(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_NOTHING);
-	list_watch_announced(&follow);
-	list_watch_listed(&follow);
-	list_watch_start(&follow);
-	list_watch_listed(&follow);
-	list_watch_relist(&follow);
-	assert_int_equal(list_watch_next(&follow), LIST_WATCH_LIST);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_NOTHING);
+	list_watch_start(&list_watch);
+	list_watch_stop(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_NOTHING);
+	list_watch_announced(&list_watch);
+	list_watch_listed(&list_watch);
+	list_watch_start(&list_watch);
+	list_watch_listed(&list_watch);
+	list_watch_relist(&list_watch);
+	assert_int_equal(list_watch_next(&list_watch), LIST_WATCH_LIST);
 }
 
 /* A reply that was on its way while the store was restored from an older copy of its data is
@@ -546,23 +546,23 @@
 /* A subscriber reads what was sent, however the bytes are split; invalid data is detected. */
 static void test_feed(void **state)
 {
-	feed_cache_t *book = feed_cache_new(1);
+	feed_cache_t *cache = feed_cache_new(1);
 	GByteArray *bytes = g_byte_array_new();
 	GString *read = g_string_new(NULL);
 	size_t at = 0, used = 0;
 
 	(void)state;
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "early"});
-	feed_cache_write(book, bytes);
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "early"});
+	feed_cache_write(cache, bytes);
 	assert_int_equal(bytes->len, 0);
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1, .era = 2});
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1, .era = 2});
 	feed_cache_apply(
-		book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "a", .text = "x"});
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
+		cache, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "a", .text = "x"});
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
 	feed_cache_apply(
-		book, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "b", .text = "y"});
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
-	feed_cache_write(book, bytes);
+		cache, &(feed_message_t){.type = FEED_OBJECT, .kind = 1, .name = "b", .text = "y"});
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_REMOVED, .kind = 1, .name = "a"});
+	feed_cache_write(cache, bytes);
 	for (guint have = 0; have <= bytes->len; have++) {
 		framing_result_t got =
 			feed_message_read(bytes->data + at, have - at, &used, append_message, read);
@@ -578,9 +578,9 @@
 	assert_int_equal(feed_message_read((const uint8_t *)"\0\0\0\2\x92\x01", 6, &used,
 					   append_message, read),
 			 FRAMING_INVALID);
-	feed_cache_clear(book);
-	assert_false(feed_cache_is_complete(book));
-	feed_cache_free(book);
+	feed_cache_clear(cache);
+	assert_false(feed_cache_is_complete(cache));
+	feed_cache_free(cache);
 	g_byte_array_unref(bytes);
 	g_string_free(read, TRUE);
 }
@@ -589,31 +589,31 @@
  * have kept it. */
 static void test_announced_object_is_kept(void **state)
 {
-	feed_cache_t *book = feed_cache_new(1);
+	feed_cache_t *cache = feed_cache_new(1);
 	g_autoptr(GByteArray) bytes = g_byte_array_new();
 	g_autoptr(GString) read = g_string_new(NULL);
 	feed_message_t found;
 
 	(void)state;
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_ANNOUNCED,
-						 .kind = 1,
-						 .name = "main",
-						 .text = "a large object"});
-	feed_cache_apply(book, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
-	feed_cache_write(book, bytes);
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_LIST_BEGIN, .kind = 1});
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_ANNOUNCED,
+						  .kind = 1,
+						  .name = "main",
+						  .text = "a large object"});
+	feed_cache_apply(cache, &(feed_message_t){.type = FEED_LIST_END, .kind = 1});
+	feed_cache_write(cache, bytes);
 	for (size_t at = 0, used = 0; at < bytes->len; at += used)
 		assert_int_equal(feed_message_read(bytes->data + at, bytes->len - at, &used,
 						   append_message, read),
 				 FRAMING_COMPLETE);
 	assert_string_equal(read->str, "0 1   0;2 1 main  0;4 1   0;");
-	assert_true(feed_cache_find(book, "main", &found));
+	assert_true(feed_cache_find(cache, "main", &found));
 	assert_int_equal(found.type, FEED_OBJECT);
 	assert_string_equal(found.text, "a large object");
-	assert_false(feed_cache_find(book, "other", &found));
+	assert_false(feed_cache_find(cache, "other", &found));
 	assert_true(feed_request_pause_us(550000, 14) > 4 * 300000);
 	assert_true(feed_request_pause_us(550000, 1000) < 20000);
-	feed_cache_free(book);
+	feed_cache_free(cache);
 }
 
 /* Whatever time limits a deployment sets, a VM whose feeder is cut off from the store reads the
