--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -272,8 +272,8 @@
 	routing_unref(routing);
 }
 
-/* The same for 3,000 VMs, but only for the gatherers: each share is computed from the whole list of
- * VMs, which takes long. */
+/* The same limits hold for 3,000 VMs. Only the gatherers are checked: each share is computed from
+ * the whole list of VMs, which takes long. */
 static void test_sums_of_thousands(void **state)
 {
 	routing_t *routing = routing_of_two();
--- a/tests/front_matrix_test.c
+++ b/tests/front_matrix_test.c
@@ -159,8 +159,8 @@
 	{"late", 1, 0, 60000},
 	{"near the target", 1, 0, 110000},
 };
-/* For this and later steps the near searcher is slow from the start, as the request would be
- * answered before them otherwise. */
+/* In this step and the later ones the near searcher is slow from the start; otherwise the request
+ * would be answered before the step is reached. */
 #define STEP_LATE 3
 
 /** The kind of request that a fault affects. */
--- a/tests/gossip_test.c
+++ b/tests/gossip_test.c
@@ -260,9 +260,9 @@
 }
 
 /*
- * One VM receives a configuration. It sends it to three members, which send it to three more: a
- * hundred have it at once, although each sends only a few messages. A VM that was partitioned gets
- * it from the first member that it reaches.
+ * One VM receives a configuration and sends it to three members, each of which sends it to three
+ * more: a hundred members have the configuration at once, although each sends only a few messages. A
+ * VM that was partitioned gets the configuration from the first member that it reaches.
  */
 static void test_configuration_spreads(void **state)
 {
