--- a/tests/gossip_test.c
+++ b/tests/gossip_test.c
@@ -261,8 +261,8 @@
 
 /*
  * One VM receives a configuration and sends it to three members, each of which sends it to three
- * more: a hundred members have the configuration at once, although each sends only a few messages. A
- * VM that was partitioned gets the configuration from the first member that it reaches.
+ * more: a hundred members have the configuration at once, although each sends only a few messages.
+ * A VM that was partitioned gets the configuration from the first member that it reaches.
  */
 static void test_configuration_spreads(void **state)
 {
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -222,8 +222,8 @@
 	site_end(&site);
 }
 
-/* The local searcher is chosen first, another searcher once the local one is slow, and the local one
- * again a long time after it was slow. */
+/* The local searcher is chosen first, another searcher once the local one is slow, and the local
+ * one again a long time after it was slow. */
 static void test_placement(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(1);
--- a/tests/store_sync_test.c
+++ b/tests/store_sync_test.c
@@ -785,7 +785,7 @@
 	for (int times = 0; times < 3; times++) {
 		change_all(sim);
 		run_until(sim, sim->now_us + bounds->apply_ms * MS_US);
-		expect_known(sim, ALL_VMS, "VMs cut off from the store", at_ms);
+		expect_known(sim, ALL_VMS, "VMs turned away by the store", at_ms);
 	}
 	sim_free(sim);
 }
