--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -19,12 +19,12 @@
 #define SETTLE_US 6000000
 #define TIMEOUT_US 1500000
 
-typedef struct scene_t scene_t;
+typedef struct scenario_t scenario_t;
 
 /** One specified fault. */
 typedef struct fault_t {
 	const char *name;
-	void (*inject)(scene_t *scene);
+	void (*inject)(scenario_t *scenario);
 	bool expects_complete_answer; /**< a search or look-up must still be answered completely */
 } fault_t;
 
@@ -44,20 +44,20 @@
 	size_t step_count;
 } kind_t;
 
-struct scene_t {
+struct scenario_t {
 	world_t *world;
 	const fault_t *fault, *second;
 	const step_t *step, *second_step;
 	uint32_t seen, second_seen;
 	bool injected, second_injected;
-	proposal_outcome_t proposal_end, racing_end;
+	proposal_outcome_t proposal_outcome, racing_outcome;
 	uint64_t proposal_number, racing_number;
 };
 
-static replica_t *first_of(scene_t *scene, const char *service)
+static replica_t *first_of(scenario_t *scenario, const char *service)
 {
-	for (guint i = 0; i < scene->world->replicas->len; i++) {
-		replica_t *replica = g_ptr_array_index(scene->world->replicas, i);
+	for (guint i = 0; i < scenario->world->replicas->len; i++) {
+		replica_t *replica = g_ptr_array_index(scenario->world->replicas, i);
 
 		if (g_str_has_prefix(replica->name, service))
 			return replica;
@@ -65,12 +65,12 @@
 	return NULL;
 }
 
-static void each_first(scene_t *scene, void (*change)(replica_t *replica))
+static void each_first(scenario_t *scenario, void (*change)(replica_t *replica))
 {
 	static const char *const services[] = {"board", "profile", "mail"};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(services); i++)
-		change(first_of(scene, services[i]));
+		change(first_of(scenario, services[i]));
 }
 
 static void make_slow(replica_t *replica)
@@ -83,21 +83,21 @@
 	replica->dead = true;
 }
 
-static void straggler(scene_t *scene)
+static void straggler(scenario_t *scenario)
 {
-	each_first(scene, make_slow);
+	each_first(scenario, make_slow);
 }
 
-static void replica_lost(scene_t *scene)
+static void replica_lost(scenario_t *scenario)
 {
-	each_first(scene, make_dead);
+	each_first(scenario, make_dead);
 }
 
 /* A new version with one more partition per group replaces the oldest one. */
-static void repartition(scene_t *scene)
+static void repartition(scenario_t *scenario)
 {
-	for (guint i = 0; i < scene->world->replicas->len; i++) {
-		replica_t *replica = g_ptr_array_index(scene->world->replicas, i);
+	for (guint i = 0; i < scenario->world->replicas->len; i++) {
+		replica_t *replica = g_ptr_array_index(scenario->world->replicas, i);
 		uint64_t *versions = replica->versions;
 		uint64_t next = MAX(versions[0], versions[1]) + 1;
 
@@ -106,56 +106,57 @@
 	}
 }
 
-static void versions_change(scene_t *scene)
+static void versions_change(scenario_t *scenario)
 {
-	for (guint i = 0; i < scene->world->replicas->len; i++) {
-		replica_t *replica = g_ptr_array_index(scene->world->replicas, i);
+	for (guint i = 0; i < scenario->world->replicas->len; i++) {
+		replica_t *replica = g_ptr_array_index(scenario->world->replicas, i);
 
 		replica->versions[0] = 3;
 		replica->versions[1] = 4;
 	}
 }
 
-static void platform_down(scene_t *scene)
+static void platform_down(scenario_t *scenario)
 {
-	scene->world->platform_down = true;
+	scenario->world->platform_down = true;
 }
 
-static void platform_slow(scene_t *scene)
+static void platform_slow(scenario_t *scenario)
 {
-	scene->world->platform_slow_us = 700000;
+	scenario->world->platform_slow_us = 700000;
 }
 
-static void platform_answer_lost(scene_t *scene)
+static void platform_answer_lost(scenario_t *scenario)
 {
-	scene->world->lose_replies++;
+	scenario->world->lose_replies++;
 }
 
-static void platform_write_late(scene_t *scene)
+static void platform_write_late(scenario_t *scenario)
 {
-	scene->world->late_writes++;
+	scenario->world->late_writes++;
 }
 
-static void paused_past_lease(scene_t *scene)
+static void paused_past_lease(scenario_t *scenario)
 {
-	world_freeze(scene->world, 0);
+	world_freeze(scenario->world, 0);
 }
 
-static void operators_race(scene_t *scene)
+static void operators_race(scenario_t *scenario)
 {
-	world_propose(scene->world, 1, "split", "ivo", &scene->racing_end, &scene->racing_number);
+	world_propose(scenario->world, 1, "split", "ivo", &scenario->racing_outcome,
+		      &scenario->racing_number);
 }
 
-static void silent(scene_t *scene)
+static void silent(scenario_t *scenario)
 {
-	for (guint i = 0; i < scene->world->replicas->len; i++)
-		((replica_t *)g_ptr_array_index(scene->world->replicas, i))->silent = true;
+	for (guint i = 0; i < scenario->world->replicas->len; i++)
+		((replica_t *)g_ptr_array_index(scenario->world->replicas, i))->silent = true;
 }
 
-static void data_centres_cut(scene_t *scene)
+static void data_centres_cut(scenario_t *scenario)
 {
-	for (guint i = 0; i < scene->world->replicas->len; i++) {
-		replica_t *replica = g_ptr_array_index(scene->world->replicas, i);
+	for (guint i = 0; i < scenario->world->replicas->len; i++) {
+		replica_t *replica = g_ptr_array_index(scenario->world->replicas, i);
 
 		/* The VM that gets the request is in Zagreb; packets to Osijek are lost. */
 		if (g_str_equal(replica->data_centre, "osijek"))
@@ -163,27 +164,27 @@
 	}
 }
 
-static void vm_killed(scene_t *scene)
+static void vm_killed(scenario_t *scenario)
 {
-	if (!scene->world->vms[0].dead)
-		world_kill(scene->world, 0);
+	if (!scenario->world->vms[0].dead)
+		world_kill(scenario->world, 0);
 }
 
-static void thaw_vm(scene_t *scene)
+static void thaw_vm(scenario_t *scenario)
 {
-	if (scene->world->vms[0].frozen)
-		world_thaw(scene->world, 0);
+	if (scenario->world->vms[0].frozen)
+		world_thaw(scenario->world, 0);
 }
 
-static void vm_frozen(scene_t *scene)
+static void vm_frozen(scenario_t *scenario)
 {
-	world_freeze(scene->world, 0);
+	world_freeze(scenario->world, 0);
 }
 
-static void overloaded(scene_t *scene)
+static void overloaded(scenario_t *scenario)
 {
-	for (guint i = 0; i < scene->world->replicas->len; i++)
-		((replica_t *)g_ptr_array_index(scene->world->replicas, i))->shed = true;
+	for (guint i = 0; i < scenario->world->replicas->len; i++)
+		((replica_t *)g_ptr_array_index(scenario->world->replicas, i))->shed = true;
 }
 
 static const fault_t faults[] = {
@@ -228,50 +229,52 @@
 
 /* ---- one cell ---- */
 
-static void inject(scene_t *scene, const fault_t *fault)
+static void inject(scenario_t *scenario, const fault_t *fault)
 {
-	fault->inject(scene);
+	fault->inject(scenario);
 	/*
 	 * The two faults that freeze the VM differ only in length: for a moment, or past every
 	 * lease and deadline.
 	 */
 	if (fault->inject == vm_frozen)
-		world_run(scene->world, 0);
+		world_run(scenario->world, 0);
 }
 
 static void on_step(void *ctx, vm_t *vm, const char *event)
 {
-	scene_t *scene = ctx;
+	scenario_t *scenario = ctx;
 
 	if (vm->index != 0)
 		return;
-	if (!scene->injected && scene->step->event && g_str_equal(scene->step->event, event) &&
-	    ++scene->seen == scene->step->occurrence) {
-		scene->injected = true;
-		inject(scene, scene->fault);
+	if (!scenario->injected && scenario->step->event &&
+	    g_str_equal(scenario->step->event, event) &&
+	    ++scenario->seen == scenario->step->occurrence) {
+		scenario->injected = true;
+		inject(scenario, scenario->fault);
 	}
-	if (scene->second && !scene->second_injected && scene->second_step->event &&
-	    g_str_equal(scene->second_step->event, event) &&
-	    ++scene->second_seen == scene->second_step->occurrence) {
-		scene->second_injected = true;
-		inject(scene, scene->second);
+	if (scenario->second && !scenario->second_injected && scenario->second_step->event &&
+	    g_str_equal(scenario->second_step->event, event) &&
+	    ++scenario->second_seen == scenario->second_step->occurrence) {
+		scenario->second_injected = true;
+		inject(scenario, scenario->second);
 	}
 }
 
-static void run_until_fault(scene_t *scene, const fault_t *fault, const step_t *step, bool *done)
+static void run_until_fault(scenario_t *scenario, const fault_t *fault, const step_t *step,
+			    bool *done)
 {
 	if (*done || step->event)
 		return;
-	world_run(scene->world, step->after_us);
+	world_run(scenario->world, step->after_us);
 	*done = true;
-	inject(scene, fault);
+	inject(scenario, fault);
 }
 
-static void heal(scene_t *scene)
+static void heal(scenario_t *scenario)
 {
-	world_t *world = scene->world;
+	world_t *world = scenario->world;
 
-	thaw_vm(scene);
+	thaw_vm(scenario);
 	world->platform_down = false;
 	world->platform_slow_us = 0;
 	world->lose_replies = world->late_writes = 0;
@@ -287,23 +290,23 @@
 		world_restart(world, 0);
 }
 
-static void start(scene_t *scene, const kind_t *kind)
+static void start(scenario_t *scenario, const kind_t *kind)
 {
 	char key[64];
 
 	if (!kind->service) {
-		world_propose(scene->world, 0, "zagreb", "ana", &scene->proposal_end,
-			      &scene->proposal_number);
+		world_propose(scenario->world, 0, "zagreb", "ana", &scenario->proposal_outcome,
+			      &scenario->proposal_number);
 		return;
 	}
-	world_key(scene->world, key, "matrix");
-	world_ask(scene->world, 0, kind->service, "q", CLASS_NORMAL, TIMEOUT_US,
+	world_key(scenario->world, key, "matrix");
+	world_ask(scenario->world, 0, kind->service, "q", CLASS_NORMAL, TIMEOUT_US,
 		  g_str_equal(kind->service, "mail") ? key : "x1");
 }
 
-static void run_scene(scene_t *scene, const kind_t *kind)
+static void run_scenario(scenario_t *scenario, const kind_t *kind)
 {
-	world_t *world = scene->world;
+	world_t *world = scenario->world;
 	bool frozen_briefly;
 
 	/* Warm up: latencies are measured, connections open, the claims' bucket read. */
@@ -315,52 +318,53 @@
 		world_run(world, 100000);
 	}
 	world->on_step = on_step;
-	world->ctx = scene;
-	if (!scene->step->event && scene->step->after_us == 0) {
-		scene->injected = true;
-		inject(scene, scene->fault);
+	world->ctx = scenario;
+	if (!scenario->step->event && scenario->step->after_us == 0) {
+		scenario->injected = true;
+		inject(scenario, scenario->fault);
 	}
 	if (world->vms[0].dead || world->vms[0].frozen)
 		goto settle; /* no VM takes the request */
-	start(scene, kind);
-	run_until_fault(scene, scene->fault, scene->step, &scene->injected);
-	if (scene->second)
-		run_until_fault(scene, scene->second, scene->second_step, &scene->second_injected);
-	frozen_briefly = scene->fault->inject == vm_frozen;
+	start(scenario, kind);
+	run_until_fault(scenario, scenario->fault, scenario->step, &scenario->injected);
+	if (scenario->second)
+		run_until_fault(scenario, scenario->second, scenario->second_step,
+				&scenario->second_injected);
+	frozen_briefly = scenario->fault->inject == vm_frozen;
 	world_run(world, frozen_briefly ? 300000 : HEAL_AFTER_US);
 settle:
 	world->on_step = NULL;
-	heal(scene);
+	heal(scenario);
 	world_run(world, SETTLE_US);
 	world_check_end(world);
 }
 
 /* Checks the operators' answers, and that every VM has the same configuration number. */
-static void check_change(scene_t *scene, GString *out)
+static void check_change(scenario_t *scenario, GString *out)
 {
-	world_t *world = scene->world;
-	bool both = scene->proposal_end == PROPOSAL_ACCEPTED &&
-		    scene->racing_end == PROPOSAL_ACCEPTED &&
-		    scene->proposal_number == scene->racing_number && scene->racing_number;
+	world_t *world = scenario->world;
+	bool both = scenario->proposal_outcome == PROPOSAL_ACCEPTED &&
+		    scenario->racing_outcome == PROPOSAL_ACCEPTED &&
+		    scenario->proposal_number == scenario->racing_number && scenario->racing_number;
 
 	if (both)
 		g_string_append(world->violations, "two changes were accepted as one number\n");
 	if (world_config_number(world, 0) != world_config_number(world, 1))
 		g_string_append(world->violations, "the VMs have different configurations\n");
-	if (scene->proposal_end == PROPOSAL_ACCEPTED &&
-	    world_config_number(world, 1) < scene->proposal_number)
+	if (scenario->proposal_outcome == PROPOSAL_ACCEPTED &&
+	    world_config_number(world, 1) < scenario->proposal_number)
 		g_string_append(world->violations, "accepted, and not in force\n");
-	g_string_append(out, scene->proposal_end == PROPOSAL_ACCEPTED	? "accepted"
-			     : scene->proposal_end == PROPOSAL_CONFLICT ? "conflict told"
-									: "unknown told");
+	g_string_append(out, scenario->proposal_outcome == PROPOSAL_ACCEPTED   ? "accepted"
+			     : scenario->proposal_outcome == PROPOSAL_CONFLICT ? "conflict told"
+									       : "unknown told");
 }
 
-static void describe(scene_t *scene, const kind_t *kind, GString *out)
+static void describe(scenario_t *scenario, const kind_t *kind, GString *out)
 {
-	const result_t *result = world_result(scene->world, "q");
+	const result_t *result = world_result(scenario->world, "q");
 
-	if (!kind->service && (scene->proposal_number || scene->injected)) {
-		check_change(scene, out);
+	if (!kind->service && (scenario->proposal_number || scenario->injected)) {
+		check_change(scenario, out);
 	} else if (!result) {
 		g_string_append(out, "not asked: nobody was there");
 	} else if (result->lost) {
@@ -375,9 +379,9 @@
 	}
 }
 
-static bool is_complete_or_gone(const scene_t *scene)
+static bool is_complete_or_gone(const scenario_t *scenario)
 {
-	const result_t *result = world_result(scene->world, "q");
+	const result_t *result = world_result(scenario->world, "q");
 
 	return !result || result->lost || (result->refusal == REFUSAL_NONE && result->missing == 0);
 }
@@ -386,26 +390,26 @@
 static bool run_cell(const kind_t *kind, const fault_t *fault, const step_t *step,
 		     const fault_t *second, const step_t *second_step, GString *out)
 {
-	scene_t scene = {
+	scenario_t scenario = {
 		.fault = fault, .step = step, .second = second, .second_step = second_step};
 	bool good;
 
-	scene.world = world_new(SERVICES, 2, SEED);
-	scene.proposal_end = scene.racing_end = PROPOSAL_UNKNOWN;
-	run_scene(&scene, kind);
-	describe(&scene, kind, out);
+	scenario.world = world_new(SERVICES, 2, SEED);
+	scenario.proposal_outcome = scenario.racing_outcome = PROPOSAL_UNKNOWN;
+	run_scenario(&scenario, kind);
+	describe(&scenario, kind, out);
 	if (!second && fault->expects_complete_answer && kind->service &&
-	    !g_str_equal(kind->service, "mail") && !is_complete_or_gone(&scene))
-		g_string_append(scene.world->violations,
+	    !g_str_equal(kind->service, "mail") && !is_complete_or_gone(&scenario))
+		g_string_append(scenario.world->violations,
 				"not whole, though every group was served\n");
-	good = scene.world->violations->len == 0;
+	good = scenario.world->violations->len == 0;
 	if (!good) {
 		g_string_append(out, " **BROKEN**");
 		fprintf(stderr, "%s / %s / %s%s%s: %s", kind->name, fault->name, step->name,
 			second ? " + " : "", second ? second->name : "",
-			scene.world->violations->str);
+			scenario.world->violations->str);
 	}
-	world_free(scene.world);
+	world_free(scenario.world);
 	return good;
 }
 
