--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -596,8 +596,8 @@
 	bucket_step(bucket, now_us);
 }
 
-void claims_outcome(claims_t *claims, const char *scope, const char *key, ran_t ran,
-		    uint64_t now_us, uint64_t wall_ms)
+void claims_record_outcome(claims_t *claims, const char *scope, const char *key, ran_t ran,
+			   uint64_t now_us, uint64_t wall_ms)
 {
 	op_t *op = op_new(ran == RAN_YES ? OP_RAN : OP_RELEASE, scope, key);
 	const char *holder = g_hash_table_lookup(claims->held, op->key);
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -45,8 +45,8 @@
 void claims_claim(claims_t *claims, const char *scope, const char *key, void *owner,
 		  uint64_t now_us, uint64_t wall_ms);
 /** Record the outcome of a claim that this VM holds: RAN_NO releases the key. */
-void claims_outcome(claims_t *claims, const char *scope, const char *key, ran_t ran,
-		    uint64_t now_us, uint64_t wall_ms);
+void claims_record_outcome(claims_t *claims, const char *scope, const char *key, ran_t ran,
+			   uint64_t now_us, uint64_t wall_ms);
 
 void claims_read_done(claims_t *claims, uint32_t bucket, const platform_result_t *result,
 		      uint64_t now_us, uint64_t wall_ms);
--- a/src/core/connection_share.c
+++ b/src/core/connection_share.c
@@ -82,7 +82,7 @@
  * other VMs, where n is the number of searchers outside its region. */
 static uint32_t holders_of(const pool_t *pool, const searcher_t *searcher, const vm_counts_t *vms)
 {
-	uint32_t near = vms_in(vms, searcher->data_centre), elsewhere = 0;
+	uint32_t near_vms = vms_in(vms, searcher->data_centre), elsewhere = 0;
 
 	for (guint i = 0; i < pool->searchers->len; i++) {
 		const searcher_t *other = g_ptr_array_index(pool->searchers, i);
@@ -93,7 +93,7 @@
 
 		elsewhere += g_strcmp0(here, there) != 0;
 	}
-	return near + (vms->all - MIN(near, vms->all)) / MAX(elsewhere, 1);
+	return near_vms + (vms->all - MIN(near_vms, vms->all)) / MAX(elsewhere, 1);
 }
 
 static bool has_near(const pool_t *pool)
--- a/src/core/forwarder.c
+++ b/src/core/forwarder.c
@@ -84,10 +84,10 @@
 
 uint64_t forwarder_next_us(const forwarder_t *forwarder)
 {
-	uint64_t own_us =
+	uint64_t next_timer_us =
 		MIN(timers_next_us(&forwarder->timers), timers_next_us(&forwarder->hang_timers));
 
-	return MIN(own_us, poison_next_us(forwarder->poison));
+	return MIN(next_timer_us, poison_next_us(forwarder->poison));
 }
 
 void forwarder_stop_accepting(forwarder_t *forwarder)
@@ -321,7 +321,8 @@
 
 		next = item->next;
 		if (!searcher && !part->tried && !forward->route->regions && forward->probe != part)
-			break; /* no searcher has a free connection, for any part */
+			break; /* this part may use any searcher, and none has a free connection:
+				* no other part will find one either */
 		if (!searcher)
 			continue;
 		part_send_waiting(part, searcher, now_us);
--- a/src/core/handover.h
+++ b/src/core/handover.h
@@ -6,8 +6,8 @@
  *
  * The number of times that searchers may run a request is limited, whichever VMs gather it. So a
  * gatherer first sends one sub-request per shard, and may send more only after this VM (the taker)
- * has received its acceptance and granted them. A gatherer that does not reply has then used up one
- * attempt, and the remaining ones are available for another gatherer.
+ * has received the gatherer's acceptance and granted it more. So a gatherer that does not reply
+ * uses up only one attempt, and the remaining ones are available for another gatherer.
  */
 #ifndef DS_HANDOVER_H
 #define DS_HANDOVER_H
--- a/src/core/json_salvage.h
+++ b/src/core/json_salvage.h
@@ -2,8 +2,8 @@
  * @file json_salvage.h
  * Parses partly damaged JSON and keeps the intact values.
  *
- * One writer's invalid bytes in a page of many objects must not hide the other objects: a JSON
- * library rejects the page as a whole, and with it every searcher that the page lists.
+ * A JSON library rejects a page with invalid bytes as a whole, and with it every searcher that the
+ * page lists. One writer's invalid bytes in a page of many objects must not hide the other objects.
  */
 #ifndef DS_JSON_SALVAGE_H
 #define DS_JSON_SALVAGE_H
--- a/src/core/observation.c
+++ b/src/core/observation.c
@@ -4,9 +4,9 @@
  */
 #include "core/observation.h"
 
-/* An answer is unexpected if it takes this many times the expected latency, or less than that
- * fraction of it. Larger than the difference between routes of one service, and well below the
- * factor of a slow searcher. */
+/* An answer is unexpected if its latency is more than this many times the expected latency, or less
+ * than the expected latency divided by this. The latencies of a service's routes differ by less;
+ * those of slow searchers by much more. */
 #define UNEXPECTED_FACTOR 2.5
 /* Weight of one sub-request in the share of unexpected results: a gather of tens of parts moves
  * most of it.
@@ -52,7 +52,8 @@
 	       (settled || type == OBSERVATION_HUNG);
 }
 
-/* Whether the searcher has answered this VM since the other VM sent its sub-request. */
+/* Whether the searcher has answered this VM since the VM that made the observation sent its
+ * sub-request. */
 static bool answered_since(const searcher_t *searcher, uint64_t after_us, uint64_t now_us)
 {
 	return searcher->answered_us && now_us - searcher->answered_us < after_us;
--- a/src/core/observation.h
+++ b/src/core/observation.h
@@ -35,8 +35,8 @@
 	uint64_t first_sent_us;	 /**< when the first sub-request was recorded; 0: none yet */
 } observation_filter_t;
 
-/** Whether an answer after @p took_us, where @p expected_us was expected, is unexpected and so
- * worth sharing. So is any answer of a searcher that is being avoided. */
+/** Whether the latency @p took_us differs so much from @p expected_us that the answer is worth
+ * sharing with other VMs. Always true for a searcher that this VM avoids. */
 bool observation_is_unexpected(const searcher_t *searcher, double expected_us, uint64_t took_us,
 			       uint64_t now_us);
 /** Record that a sub-request has ended or hangs, and whether that was @p unexpected. */
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -121,7 +121,8 @@
 					sum.before ? 100 * sum.after / sum.before : 0));
 }
 
-static bool assess(plan_t *plan, const active_config_t *active, const engine_t *engine, err_t *err)
+static bool assess_services(plan_t *plan, const active_config_t *active, const engine_t *engine,
+			    err_t *err)
 {
 	config_t *fresh = config_parse(plan->config, plan->base + 1, err);
 
@@ -156,7 +157,7 @@
 	json_object_set_new(plan->config, "out", out);
 	plan->effects = json_array();
 	plan->lost_groups = json_array();
-	if (assess(plan, active, engine, err))
+	if (assess_services(plan, active, engine, err))
 		return plan;
 	plan_free(plan);
 	return NULL;
--- a/src/core/shedding.c
+++ b/src/core/shedding.c
@@ -32,10 +32,10 @@
 	const candidates_t candidates = part_candidates(part);
 	const pool_t *pool = part->pool;
 	double wait_factor = MIN(1 + SHED_SHARE_FACTOR * pool->shed_share, MAX_SHED_WAIT_FACTOR);
-	double takes_us =
+	double expected_us =
 		placement_queue_delay_us(&candidates, now_us) + placement_typical_us(pool);
 
-	return now_us + (uint64_t)(wait_factor * takes_us) > part->forward->partial_us;
+	return now_us + (uint64_t)(wait_factor * expected_us) > part->forward->partial_us;
 }
 
 bool shedding_is_too_late(const part_t *part, uint64_t now_us)
--- a/src/core/store_sync.c
+++ b/src/core/store_sync.c
@@ -24,7 +24,7 @@
 	timers_cancel(&sync->timers, timer);
 }
 
-bool store_sync_is_set(const timer_entry_t *timer)
+bool store_sync_timer_is_set(const timer_entry_t *timer)
 {
 	return timer->heap_position != 0;
 }
@@ -58,7 +58,7 @@
 	call.wait_ms = brief ? PROBE_WAIT_MS : kind->config.wait_ms;
 	kind->pending = true;
 	kind->pending_watch = !brief;
-	if (sync->probing && !store_sync_is_set(&sync->backup_timer))
+	if (sync->probing && !store_sync_timer_is_set(&sync->backup_timer))
 		store_sync_set_timer(sync, &sync->backup_timer, now_us + REPLY_MAX_US);
 	sync->ops->call(sync->ctx, kind->number, &call);
 }
--- a/src/core/store_sync_links.c
+++ b/src/core/store_sync_links.c
@@ -69,7 +69,7 @@
 		return false;
 	}
 	/* Feeders that start together with this VM have no data to send yet. */
-	if (!store_sync_is_set(&sync->start_timer))
+	if (!store_sync_timer_is_set(&sync->start_timer))
 		store_sync_set_timer(sync, &sync->candidate_timer, now_us + CANDIDATE_TIMEOUT_US);
 	return true;
 }
@@ -130,7 +130,7 @@
  */
 static bool is_near_age_max(const store_sync_t *sync, uint64_t now_us)
 {
-	return !store_sync_is_set(&sync->start_timer) &&
+	return !store_sync_timer_is_set(&sync->start_timer) &&
 	       store_sync_age_us(sync, now_us) > sync->timing.age_max_us + TIMER_DELAY_MAX_US;
 }
 
@@ -165,7 +165,7 @@
 
 	if (!all_failed && !near_age_max && try_feeder(sync, now_us))
 		return;
-	if (store_sync_is_set(&sync->start_timer)) {
+	if (store_sync_timer_is_set(&sync->start_timer)) {
 		store_sync_set_timer(sync, &sync->feeder_retry_timer, now_us + START_RETRY_US);
 		return;
 	}
@@ -250,7 +250,7 @@
 	}
 	sync->failed_checks++;
 	check_store_later(sync, now_us);
-	if (!store_sync_is_set(&sync->backup_timer))
+	if (!store_sync_timer_is_set(&sync->backup_timer))
 		store_sync_try_backup(sync, now_us);
 }
 
@@ -423,7 +423,7 @@
 			close_candidate(sync, "chosen-to-watch");
 		if (sync->feed && !sync->feed->backup)
 			close_feed(sync, "chosen-to-watch");
-	} else if (!store_sync_is_set(&sync->feeder_retry_timer)) {
+	} else if (!store_sync_timer_is_set(&sync->feeder_retry_timer)) {
 		on_feeder_retry_due(sync, now_us);
 	}
 	if (!sync->feed && (!sync->candidate || sync->candidate->backup))
--- a/src/core/store_sync_private.h
+++ b/src/core/store_sync_private.h
@@ -63,7 +63,7 @@
 uint64_t store_sync_random_us(store_sync_t *sync, uint64_t min_us, uint64_t max_us);
 void store_sync_set_timer(store_sync_t *sync, timer_entry_t *timer, uint64_t at_us);
 void store_sync_cancel_timer(store_sync_t *sync, timer_entry_t *timer);
-bool store_sync_is_set(const timer_entry_t *timer);
+bool store_sync_timer_is_set(const timer_entry_t *timer);
 /** Set whether no source reaches the store, and call back when that changes. */
 void store_sync_set_unreachable(store_sync_t *sync, bool unreachable);
 
--- a/src/core/trial.h
+++ b/src/core/trial.h
@@ -58,7 +58,7 @@
 trial_decision_t trial_decide(trial_t *trial, uint64_t now_us);
 /** Whether a trial could begin now, or is about to begin on this VM. */
 bool trial_is_due(const trial_t *trial, uint64_t now_us);
-/** Claim the next trial; sets `number`. */
+/** Claim the next trial; sets trial->number. */
 void trial_claim(trial_t *trial, uint64_t now_us);
 /** The store's reply to the claim of @p number; a late reply is ignored. */
 void trial_claim_done(trial_t *trial, uint32_t number, claim_reply_t reply, uint64_t now_us);
--- a/src/settings.h
+++ b/src/settings.h
@@ -50,8 +50,8 @@
 	uint32_t evacuate_ms; /**< an evacuation is in force within this time; 0: not supported */
 	GHashTable *regions;  /**< data centre to region */
 	char *log_level;
-	uint32_t hedge, choose_by_cost, adapt_limit; /**< switch policies off, to
-						      * measure baselines without them */
+	uint32_t hedge, choose_by_cost, adapt_limit; /**< whether the policy is on;
+						      * off only to measure a baseline */
 } settings_t;
 
 /**
--- a/src/tasks/hop_client.h
+++ b/src/tasks/hop_client.h
@@ -1,6 +1,7 @@
 /**
  * @file hop_client.h
- * Keeps a few connections to this VM's gatherers, and passes their messages on.
+ * Keeps a few connections to this VM's gatherers, and passes the gatherers' messages to
+ * handovers_t.
  */
 #ifndef DS_HOP_CLIENT_H
 #define DS_HOP_CLIENT_H
--- a/src/tasks/query_task.c
+++ b/src/tasks/query_task.c
@@ -179,8 +179,8 @@
 {
 	query_task_t *task = ctx;
 
-	claims_outcome(task->claims, query->request->service, query->request->key, ran,
-		       loop_now_us(), loop_wall_ms());
+	claims_record_outcome(task->claims, query->request->service, query->request->key, ran,
+			      loop_now_us(), loop_wall_ms());
 }
 
 /*
--- a/standins/load.c
+++ b/standins/load.c
@@ -64,7 +64,7 @@
 	GQueue waiting; /* load_request_t without a free slot or a ready VM */
 	loop_timer_t arrival, balancer, finish;
 	FILE *plot;
-	histogram_t plot_step;
+	histogram_t plot_latency;
 	uint64_t plot_due_us, plot_partial, plot_refused;
 	GHashTable *refusal_types; /* type -> count */
 } load_t;
@@ -201,16 +201,16 @@
 			    GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
 }
 
-static void plot_step(load_t *load, uint64_t now)
+static void write_plot_line(load_t *load, uint64_t now)
 {
 	if (!load->plot || now < load->plot_due_us)
 		return;
 	fprintf(load->plot, "%.1f %.3f %.3f %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT "\n",
 		(double)(now - load->start_us) / 1e6,
-		(double)histogram_quantile_us(&load->plot_step, 0.5) / 1e3,
-		(double)histogram_quantile_us(&load->plot_step, 0.99) / 1e3, load->plot_partial,
+		(double)histogram_quantile_us(&load->plot_latency, 0.5) / 1e3,
+		(double)histogram_quantile_us(&load->plot_latency, 0.99) / 1e3, load->plot_partial,
 		load->plot_refused);
-	load->plot_step = (histogram_t){0};
+	load->plot_latency = (histogram_t){0};
 	load->plot_partial = load->plot_refused = 0;
 	load->plot_due_us = now + PLOT_STEP_US;
 }
@@ -226,7 +226,7 @@
 		mix->lost++;
 	} else if (http_call_status(call) == 200) {
 		histogram_add(&mix->latency, latency_us);
-		histogram_add(&load->plot_step, latency_us);
+		histogram_add(&load->plot_latency, latency_us);
 		if (!check_answer(request, body)) {
 			mix->wrong++;
 			if (getenv("LOAD_SHOW_WRONG"))
@@ -241,7 +241,7 @@
 			fprintf(stderr, "%s\n", http_call_reply(call)->str);
 	}
 	json_decref(body);
-	plot_step(load, now);
+	write_plot_line(load, now);
 }
 
 /* ---- sending ---- */
@@ -373,7 +373,7 @@
 			(uint64_t)(-log(1.0 - g_rand_double(load->rand)) * 1e6 / load->rate) + 1;
 	}
 	send_waiting(load);
-	plot_step(load, now);
+	write_plot_line(load, now);
 	if (load->next_due_us < load->end_us)
 		loop_timer_set(load->loop, &load->arrival,
 			       load->next_due_us - MIN(now, load->next_due_us));
--- a/tests/fleet_test.c
+++ b/tests/fleet_test.c
@@ -170,7 +170,7 @@
 	site_end(&site);
 }
 
-/** Share of one VM, as it computes it on its own. */
+/** The share of the fleet's limits that one VM computes for itself. */
 typedef struct vm_share_t {
 	uint32_t connections; /* to one searcher */
 	double constant;      /* its part of the constant of the retry limit */
@@ -295,7 +295,7 @@
 }
 
 /* For a shard, gatherers open connections ahead of requests and other VMs do not; for a service
- * that is queried alone, all VMs do. */
+ * whose requests are not gathered, all VMs do. */
 static void test_connections_ahead(void **state)
 {
 	routing_t *routing = routing_of_two();
--- a/tests/forward_test.c
+++ b/tests/forward_test.c
@@ -424,14 +424,14 @@
 	registry_list_end(fixture->registry, fixture->now_us);
 }
 
-static void do_lost(void *ctx, char **words)
+static void do_store_lost(void *ctx, char **words)
 {
 	fixture_t *fixture = ctx;
 	(void)words;
 	registry_store_lost(fixture->registry);
 }
 
-static void do_back(void *ctx, char **words)
+static void do_store_recovered(void *ctx, char **words)
 {
 	fixture_t *fixture = ctx;
 	(void)words;
@@ -702,8 +702,8 @@
 	{"unreadable", do_unreadable},
 	{"copied", do_copied},
 	{"restored", do_restored},
-	{"lost", do_lost},
-	{"back", do_back},
+	{"lost", do_store_lost},
+	{"back", do_store_recovered},
 	{"room", do_room},
 	{"constant", do_constant},
 	{"idle", do_idle},
--- a/tests/load_test.c
+++ b/tests/load_test.c
@@ -68,9 +68,9 @@
 		if (result.cold_overloads)
 			fail_msg("%s, seed %u: %u searchers end for having been pressed while cold",
 				 load->scenario.name, seed, result.cold_overloads);
-		if (result.worst_extra > 1)
+		if (result.peak_extra_share > 1)
 			fail_msg("%s, seed %u: %.2f of the bound on extra sub-requests",
-				 load->scenario.name, seed, result.worst_extra);
+				 load->scenario.name, seed, result.peak_extra_share);
 	}
 	if (sum / SEEDS < load->least)
 		fail_msg("%s: %.3f of the requests served, %.3f wanted", load->scenario.name,
--- a/tests/load_world.c
+++ b/tests/load_world.c
@@ -396,7 +396,7 @@
 	g_array_append_val(world->extra_us[sub->part], world->now_us);
 	share = count_since(world->extra_us[sub->part], from_us) /
 		(RATIO * count_since(world->request_us, from_us) + CONSTANT);
-	world->result->worst_extra = MAX(world->result->worst_extra, share);
+	world->result->peak_extra_share = MAX(world->result->peak_extra_share, share);
 }
 
 /* Missing in some revisions that scripts/loads.sh compares with. Those send searchers the caller's
--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -339,7 +339,8 @@
 	world_check_end(world);
 }
 
-/* Checks the operators' answers, and that every VM has the same configuration number. */
+/* Checks that two racing changes were not accepted under one number, that all VMs have the same
+ * configuration number, and that an accepted change is in force. */
 static void check_change(scenario_t *scenario, GString *out)
 {
 	world_t *world = scenario->world;
--- a/tests/pages_test.c
+++ b/tests/pages_test.c
@@ -220,7 +220,7 @@
 	check->pages++;
 }
 
-static void pages_name_what_exists(void **state)
+static void names_in_docs_exist(void **state)
 {
 	tree_t tree = tree_read();
 	page_check_t check = {.tree = &tree};
@@ -238,7 +238,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(api_page_lists_every_refusal),
-		cmocka_unit_test(pages_name_what_exists),
+		cmocka_unit_test(names_in_docs_exist),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/parts_test.c
+++ b/tests/parts_test.c
@@ -265,14 +265,14 @@
  */
 static void test_evacuation_watch(void **state)
 {
-	const uint32_t read_ms = 300, told_ms = 500;
+	const uint32_t read_ms = 300, notify_ms = 500;
 
 	(void)state;
 	for (uint32_t settle_ms = 4000; settle_ms <= 8000; settle_ms += 1000)
 		for (uint32_t evacuate_ms = 3000; evacuate_ms <= 9000; evacuate_ms += 1000) {
 			feed_timing_t timing = feed_timing_for(5000, settle_ms, evacuate_ms);
 			uint32_t known_ms = timing.evacuation_watch_ms + FEED_WATCH_SLACK_MS +
-					    read_ms + told_ms;
+					    read_ms + notify_ms;
 
 			assert_true(known_ms <= MAX(settle_ms, evacuate_ms));
 		}
--- a/tests/world.c
+++ b/tests/world.c
@@ -542,8 +542,8 @@
 {
 	vm_t *vm = ctx;
 
-	claims_outcome(vm->claims, query->request->service, query->request->key, ran,
-		       vm->world->now_us, wall_ms(vm->world));
+	claims_record_outcome(vm->claims, query->request->service, query->request->key, ran,
+			      vm->world->now_us, wall_ms(vm->world));
 }
 
 static void probe_all(world_t *world, vm_t *vm);
