--- a/tests/load_world.h
+++ b/tests/load_world.h
@@ -55,7 +55,7 @@
 	uint32_t cold_overloads; /**< searchers that crashed because of too many sub-requests while
 				    cold */
 	double peak_extra_share; /**< peak of a shard's extra sub-requests within a window, as a
-			       share of the limit */
+				    share of the limit */
 } load_result_t;
 
 /** Run @p scenario; the same seed gives the same result. */
--- a/tests/matrix_test.c
+++ b/tests/matrix_test.c
@@ -339,8 +339,8 @@
 	world_check_end(world);
 }
 
-/* Checks that two racing changes were not accepted under one number, that all VMs have the same
- * configuration number, and that an accepted change is in force. */
+/* Checks that two racing changes were not accepted under one number, that VMs 0 and 1 have
+ * the same configuration number, and that an accepted change is in force. */
 static void check_change(scenario_t *scenario, GString *out)
 {
 	world_t *world = scenario->world;
