--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Takes mechanisms out, one at a time, and plays the same days and seeds with and without each.
+# Ablation study: removes one mechanism at a time, and runs the same simulated days and seeds with and without it.
 #
 #     BENCH=path/of/fleetbench scripts/ablate.sh OUT "SITE.toml..." "DAY..." "SEED..." [TEXT]
 #
-# What to take out stands in tests/mutants.sh; rows of src/core that hold TEXT (or all of forwarding).
-# One table a mechanism is written to OUT; those that are there already are not played again.
+# The mechanisms are the rows of tests/mutants.sh for the files of forwarding that contain TEXT (all if not given).
+# Writes one table a mechanism to OUT; mechanisms whose table exists already are skipped.
 set -eu
 cd "$(dirname "$0")/.."
 out=$1 sites=$2 days=$3 seeds=$4 text=${5:-}
@@ -31,7 +31,7 @@
 		perl -0pi -e "$expression" "$out/$slug/$file"
 		cmp -s "$file" "$out/$slug/$file" && { echo "STALE  $name"; continue; }
 		scripts/rounds.sh "ablation: without it $name" "$sites" "$days" "$seeds" "$out/whole" "$out/$slug" >"$out/$slug.part" ||
-			{ echo "NOT PLAYED without it $name"; continue; }
+			{ echo "NOT RUN without it $name"; continue; }
 		mv "$out/$slug.part" "$out/$slug.txt"
 	fi
 	done=$((done + 1))
--- a/scripts/bench_front.sh
+++ b/scripts/bench_front.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Processor time a sub-request and memory of a daemon that forwards by routes: gathers over 16 shards, one
-# after the other on each of four connections, against the stand-in for the users' platform.
+# Measures the processor time a sub-request and the memory of a daemon that forwards by routes. Load: pipelined gathers
+# over 16 shards on four connections. The searchers are those of the stand-in for the users' platform.
 set -u
 cd "$(dirname "$0")/.."
 PORT_BASE=${PORT_BASE:-14000} DRAIN_MS=100
--- a/scripts/bench_logs.sh
+++ b/scripts/bench_logs.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What logging costs: processor time a sub-request with all lines and with warnings only, by turns in one
-# run, so that the rest of the machine's load falls on both.
+# Measures the cost of logging: processor time a sub-request with all log lines and with warnings only. The two
+# alternate within one run, so that other load on the machine affects both.
 set -u
 cd "$(dirname "$0")/.."
 rounds=${ROUNDS:-3}
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Feeds what comes from outside to the parsers with libFuzzer, for so many seconds each.
+# Fuzzes the parsers of untrusted input with libFuzzer, for SECONDS each.
 # Usage: scripts/fuzz.sh SECONDS
 set -eu
 cd "$(dirname "$0")/.."
--- a/scripts/loads.sh
+++ b/scripts/loads.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays the load scenarios of tests/load_test.c on this tree's decisions and on those of an earlier
-# revision, and prints what callers get, side by side. With gnuplot it also draws build/loads.png.
+# Runs the load scenarios of tests/load_test.c with src/core of this tree and of an earlier revision, and prints the
+# shares served to callers side by side. With gnuplot it also draws build/loads.png.
 #
 #     scripts/loads.sh [REVISION] [SEEDS]
 set -eu
--- a/scripts/regress.sh
+++ b/scripts/regress.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# A score and a hunt of each deployment, and how the figures stand against those committed last.
+# Runs a score and a hunt of each deployment, and compares the figures with those committed last.
 #
 #     BENCH=path/of/fleetbench KIT=folder/of/the/deployments scripts/regress.sh "why" [SITE...]
 #
-# Without sites: those of docs/figures.tsv that are marked as current. What was played by this commit is
-# not played again: an interrupted run goes on where it was. WRITE=1 puts the new figures into the table.
+# Without sites: those that docs/figures.tsv marks as current. Results of this commit are kept, so an interrupted run
+# continues where it stopped. WRITE=1 writes the new figures to the table.
 set -eu
 cd "$(dirname "$0")/.."
 why=$1
@@ -14,7 +14,7 @@
 work=${WORK:-/tmp/dogwoodsaddle-regress}/$revision
 mkdir -p "$work"
 
-# As many days at once as stay below 300 processes; large deployments one by one.
+# Prints the number of days to run in parallel: as many as need at most 300 processes together, from 1 to 4.
 jobs_for() { # site
 	local vms
 	vms=$(sed -n '/^machines = \[/,/^\]/p' "$KIT/$1" | grep -o 'count = [0-9]*' | awk '{n += $3} END {print n}')
@@ -22,7 +22,7 @@
 }
 days_for() { [ "$(jobs_for "$1")" -lt 4 ] && echo 8 || echo 40; }
 
-play() { # site kind arguments...
+run_bench() { # site kind arguments...
 	local site=$1 out=$work/$(basename "$1" .toml).$2
 	[ -s "$out" ] && return
 	shift
@@ -30,16 +30,17 @@
 	mv "$out.part" "$out"
 }
 
-# The mean worth of the standard days with trouble, and how many days broke a rule.
+# Prints the mean worth of the standard days with faults.
 worth_of() { awk '$1 ~ /^(trouble|scale)-/ && $2 ~ /\// {sum += $4; n++} END {if (n) printf "%.3f", sum / n}' "$1"; }
+# Prints the number of days that broke a rule.
 broken_in() { grep -c 'BROKEN' "$1" || true; }
 
 sites=("$@")
 [ ${#sites[@]} -gt 0 ] || mapfile -t sites < <(awk -F'\t' '$4 == "current" {print $1}' "$table")
 printf '%-45s %8s %8s %8s  %s\n' deployment before now broken gate
 for site in "${sites[@]}"; do
-	play "$site" score
-	play "$site" hunt --days "$(days_for "$site")"
+	run_bench "$site" score
+	run_bench "$site" hunt --days "$(days_for "$site")"
 	name=$work/$(basename "$site" .toml)
 	before=$(awk -F'\t' -v site="$site" '$1 == site {print $2}' "$table")
 	now=$(worth_of "$name.score")
--- a/scripts/rounds.sh
+++ b/scripts/rounds.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays the same days with the same seeds on several checkouts of this repository, side by side, and
-# prints for each site and day the mean worth and share served of each, with their spread.
+# Runs the same simulated days with the same seeds on several checkouts of this repository, interleaved, and prints for
+# each site and day the mean worth with its standard deviation and the mean share served of each checkout.
 #
 #     BENCH=path/of/fleetbench scripts/rounds.sh "why" "SITE.toml..." "DAY..." "SEED..." DIR...
 #
-# The first DIR is what the others are compared with. JOBS plays at a time (4 unless set).
+# The other checkouts are compared with the first DIR. JOBS days run in parallel (default 4).
 set -eu
 why=$1 sites=$2 days=$3 seeds=$4
 shift 4
@@ -14,11 +14,11 @@
 for dir in "$@"; do
 	(cd "$dir" && "$BENCH" build) >/dev/null
 done
-play() { # index dir site day seed
+run_day() { # index dir site day seed
 	name=$(basename "$3" .toml)
 	(cd "$2" && timeout 900 "$BENCH" run "$3" "$4" --seed "$5" --why "$WHY") >"$OUT/$1.$name.$4.$5" 2>&1 || true
 }
-export -f play
+export -f run_day
 export BENCH OUT=$out WHY=$why
 index=0
 for dir in "$@"; do
@@ -28,7 +28,7 @@
 	index=$((index + 1))
 done | paste -d ' ' - - - - - | sort -s -k1,1 | while read -r seed i dir site day; do
 	printf '%s %s %s %s %s\0' "$i" "$dir" "$site" "$day" "$seed"
-done | xargs -0 -P "${JOBS:-4}" -I{} bash -c 'play {}'
+done | xargs -0 -P "${JOBS:-4}" -I{} bash -c 'run_day {}'
 python3 - "$out" "$@" <<'P'
 import glob, os, re, statistics, sys
 out, dirs = sys.argv[1], sys.argv[2:]
@@ -40,7 +40,7 @@
     if re.search(r"\b(MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|CONFIG|ROUTE|DRAIN|RECOVER)\b", text):
         red.append(f"{dirs[int(index)]} {site} {day} {seed}: " + " ".join(re.findall(r"^.*\b(?:MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|CONFIG|ROUTE|DRAIN|RECOVER)\b.*$", text, re.M)[:1]))
     if not line:
-        red.append(f"{dirs[int(index)]} {site} {day} {seed}: not played: {text[-200:]!r}")
+        red.append(f"{dirs[int(index)]} {site} {day} {seed}: not run: {text[-200:]!r}")
         continue
     rows.setdefault((site, day), {}).setdefault(int(index), {})[seed] = [float(x) for x in line.groups()]
 print(f"{'site':28}{'day':12}" + "".join(f"{os.path.basename(d.rstrip('/')):>26}" for d in dirs) + "   difference to the first (standard error)")
--- a/scripts/site.sh
+++ b/scripts/site.sh
@@ -1,10 +1,10 @@
-# Functions that start and stop one user's site on loopback. Sourced by demo, tests and benchmarks.
+# Functions that start and stop one user's site on loopback. Sourced by the demo, the tests and the benchmarks.
 #
 #   site_start SITE    platform, searchers and daemons; SITE is brodnica or sablat
-#   site_stop          ends what site_start started, by process id
+#   site_stop          kills the processes that site_start started, by process id
 #
-# Ports count from PORT_BASE, all of them below the range from which the kernel picks ports itself: a
-# connection that happens to have one would keep a listener from it. RUN is for settings and logs.
+# All ports are numbered from PORT_BASE and lie below the kernel's ephemeral port range: an outgoing connection that
+# got such a port would keep a listener from binding to it. RUN is the directory of settings and logs.
 
 BUILD=${BUILD:-build}
 PORT_BASE=${PORT_BASE:-20000}
@@ -50,7 +50,7 @@
 	for dc in "${DCS[@]}"; do VMS+=("$dc-1" "$dc-2"); done
 }
 
-# The partitions of group $1 when each has $2: "4,5,6,7".
+# Prints the partitions of group $1 if each group has $2 of them, such as "4,5,6,7".
 partitions_of() { seq -s, $(($1 * $2)) $((($1 + 1) * $2 - 1)); }
 
 start_searcher() { # name group groups slots connections work_us per_group
@@ -64,7 +64,7 @@
 	PIDS+=($!)
 }
 
-# Declare every searcher, filling SEARCHER_* and printing the configuration into $RUN/config.json.
+# Defines the searchers: fills SEARCHER_* and START_LINES, and writes the configuration to $RUN/config.json.
 site_configure() {
 	local n=0 services="" row name kind groups each slots connections work timeout per
 	START_LINES=()
@@ -132,7 +132,7 @@
 	PIDS+=($!)
 }
 
-# Wait until the command succeeds; 20 s at most.
+# Waits until the command succeeds, for 200 attempts at intervals of 0.1 s (20 s plus the command's own time).
 wait_until() {
 	local tries=0
 	until "$@" >/dev/null 2>&1; do
@@ -162,10 +162,10 @@
 	for ((i = 0; i < ${#VMS[@]}; i++)); do wait_until vm_ready "$i" || return; done
 }
 
-# One that has ended may have left its id to a process of somebody else's.
+# Succeeds if the process is a child of this shell: the id of a terminated process may have been reused by another one.
 is_own() { [ "$(awk '{sub(/.*\) /, ""); print $2}' "/proc/$1/stat" 2>/dev/null)" = "$BASHPID" ]; }
 
-# Without the shell's own word on each that was killed: newcomers take it for a failure.
+# Standard error is discarded: the shell's message on each killed process looks like a failure.
 site_stop() {
 	local pid
 	{
